--- a/core/src/main/java/org/banyanstile/core/lease/ExpiredSlots.java
+++ b/core/src/main/java/org/banyanstile/core/lease/ExpiredSlots.java
@@ -12,8 +12,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Releases the slots of VMs that failed. While more slots exist than VMs nobody else
- * writes such a row, and the epoch in it would never be seen to end.
+ * Releases the slots of VMs that failed. As long as there are more slots than VMs, no
+ * other VM has to take such a slot, and without the release no VM would learn that its
+ * epoch has ended.
  *
  * @author banyanstile contributors
  */
@@ -32,7 +33,7 @@
 	 * Returns the next write. One VM is chosen for each slot, since the writes of all
 	 * others would conflict.
 	 * @param now the current time
-	 * @param held slot that this VM holds at this moment, or {@code null}
+	 * @param held slot that this VM currently holds, or {@code null}
 	 * @param slots the slot rows as observed
 	 * @param permitted whether ownership may change
 	 * @return the write, or {@code null} if there is nothing to do
--- a/core/src/main/java/org/banyanstile/core/lease/HeadPoll.java
+++ b/core/src/main/java/org/banyanstile/core/lease/HeadPoll.java
@@ -8,10 +8,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Periodic read of the row that names the newest configuration version. It has a store
- * call of its own in flight: several other calls in a row on a slow store take longer
- * than the time for which one read of the head permits serving. Not safe for use by
- * several threads.
+ * Periodic read of the row that names the newest configuration version. It does not wait
+ * for other store calls: on a slow store, several calls in sequence take longer than the
+ * time for which one read of the head permits serving. Not safe for use by several
+ * threads.
  *
  * @author banyanstile contributors
  */
@@ -25,8 +25,8 @@
 	private static final long SECOND = 1_000_000_000L;
 
 	/**
-	 * Reads per second that all VMs together may spend on the configuration head, a
-	 * quarter of what the store answers.
+	 * Reads of the configuration head per second over all VMs, a quarter of the reads
+	 * that the store can serve.
 	 */
 	private static final int POLLS_PER_SECOND = 500;
 
@@ -40,7 +40,7 @@
 
 	private boolean started;
 
-	private long due;
+	private long nextReadAt;
 
 	private @Nullable Row head;
 
@@ -60,7 +60,7 @@
 	 * @return the read, or {@code null} if it is not due
 	 */
 	public StoreStep.@Nullable Read next(long now) {
-		if (this.started && now - this.due < 0) {
+		if (this.started && now - this.nextReadAt < 0) {
 			return null;
 		}
 		return new StoreStep.Read(List.of(HEAD_KEY), now);
@@ -77,11 +77,12 @@
 		if (reply instanceof StoreReply.Rows rows) {
 			this.gate.contacted(step.sentAt());
 			this.head = rows.rows().isEmpty() ? null : rows.rows().get(0);
-			// Counted from the sending, so that a slow store is read without a pause.
-			this.due = step.sentAt() + Math.max(SECOND, this.slots.all().size() * SECOND / POLLS_PER_SECOND);
+			// Measured from when the read was sent, so that a slow store is read without
+			// a pause.
+			this.nextReadAt = step.sentAt() + Math.max(SECOND, this.slots.all().size() * SECOND / POLLS_PER_SECOND);
 		}
 		else {
-			this.due = now + RETRY_NANOS / 2 + this.random.nextLong(RETRY_NANOS / 2);
+			this.nextReadAt = now + RETRY_NANOS / 2 + this.random.nextLong(RETRY_NANOS / 2);
 		}
 	}
 
--- a/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
+++ b/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
@@ -22,7 +22,7 @@
 	/**
 	 * Creates the sequence of one process.
 	 * @param vm this VM
-	 * @param random source of the part that distinguishes processes of one VM
+	 * @param random source of the random prefix that distinguishes processes of one VM
 	 * @return the sequence
 	 */
 	public static OperationIds create(VmId vm, RandomGenerator random) {
--- a/core/src/main/java/org/banyanstile/core/lease/OrderTurn.java
+++ b/core/src/main/java/org/banyanstile/core/lease/OrderTurn.java
@@ -1,24 +1,25 @@
 package org.banyanstile.core.lease;
 
 /**
- * Right to give orders, held by one VM at a time through a row of the store. The holder
- * writes the row under a condition right before it gives orders; the version of that
- * write is its fencing token. Another VM takes the row only after it has not changed for
- * longer than a holder may use a write, so turns of two holders never interleave. Nothing
- * is written while there are no orders. Not safe for use by several threads.
+ * Ownership of role changes, held by one VM at a time through a row of the store. The
+ * owner writes the row conditionally before it sends role-change orders; the version of
+ * that write is its fencing token. Another VM takes the row over only after it has not
+ * changed for longer than a write is valid, so orders of two owners never interleave.
+ * Nothing is written while there are no orders. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class OrderTurn {
 
 	/**
-	 * Time for which a write gives the right to order, counted from before the write.
+	 * Time for which a write permits orders, measured from before the write was sent.
 	 */
-	public static final long USE_NANOS = 1_000_000_000L;
+	public static final long VALIDITY_NANOS = 1_000_000_000L;
 
 	/**
-	 * Time without a change after which another VM may take the row: the use of the last
-	 * write, and the three seconds within which engines' callers may not take turns.
+	 * Time without a change after which another VM may take the row over. It covers the
+	 * validity of the last write and the three seconds that must separate orders of two
+	 * owners.
 	 */
 	public static final long TAKEOVER_NANOS = 5_000_000_000L;
 
@@ -28,7 +29,7 @@
 
 	private String owner = "";
 
-	private long since;
+	private long unchangedSince;
 
 	private long writtenAt;
 
@@ -39,7 +40,7 @@
 	}
 
 	/**
-	 * Creates the state of a VM that knows nothing of the row.
+	 * Creates the state of a VM that has not read the row.
 	 * @param vm name of this VM
 	 * @return the state
 	 */
@@ -48,7 +49,7 @@
 	}
 
 	/**
-	 * Notes what the row was read as.
+	 * Records a read of the row.
 	 * @param rowVersion version of the row, 0 if it does not exist
 	 * @param rowOwner the VM that wrote it
 	 * @param now the current time in nanoseconds
@@ -57,7 +58,7 @@
 		if (rowVersion != this.version) {
 			this.version = rowVersion;
 			this.owner = rowOwner;
-			this.since = now;
+			this.unchangedSince = now;
 		}
 	}
 
@@ -68,7 +69,7 @@
 	 */
 	public boolean mayWrite(long now) {
 		return this.version == 0 || (this.version > 0 && this.owner.equals(this.vm))
-				|| (this.version > 0 && now - this.since >= TAKEOVER_NANOS);
+				|| (this.version > 0 && now - this.unchangedSince >= TAKEOVER_NANOS);
 	}
 
 	/**
@@ -80,20 +81,20 @@
 	}
 
 	/**
-	 * Notes a write that the store confirmed.
-	 * @param newVersion version of the row since
+	 * Records a write that the store confirmed.
+	 * @param newVersion new version of the row
 	 * @param began time in nanoseconds before the write was sent
 	 */
 	public void written(long newVersion, long began) {
 		this.version = newVersion;
 		this.owner = this.vm;
-		this.since = began;
+		this.unchangedSince = began;
 		this.writtenAt = began;
 		this.token = newVersion;
 	}
 
 	/**
-	 * Gives the turn up after an engine named a higher token, or a write failed.
+	 * Gives up ownership after an engine reported a higher token, or a write failed.
 	 */
 	public void lost() {
 		this.token = -1;
@@ -103,10 +104,10 @@
 	/**
 	 * Returns the fencing token for an order.
 	 * @param now the current time in nanoseconds
-	 * @return the token, or -1 if the turn has to be confirmed first
+	 * @return the token, or -1 if the row has to be written first
 	 */
 	public long token(long now) {
-		return (this.token >= 0 && now - this.writtenAt < USE_NANOS) ? this.token : -1;
+		return (this.token >= 0 && now - this.writtenAt < VALIDITY_NANOS) ? this.token : -1;
 	}
 
 }
--- a/core/src/main/java/org/banyanstile/core/lease/PartitionRecord.java
+++ b/core/src/main/java/org/banyanstile/core/lease/PartitionRecord.java
@@ -14,7 +14,7 @@
  * @param name name of the partition
  * @param slot slot of the owner, or {@link #NO_SLOT} after a release
  * @param epoch epoch of that slot
- * @param fencingToken rises with each change of owner
+ * @param fencingToken increases with each change of owner
  * @author banyanstile contributors
  */
 public record PartitionRecord(String name, int slot, long epoch, long fencingToken) {
--- a/core/src/main/java/org/banyanstile/core/lease/PartitionTable.java
+++ b/core/src/main/java/org/banyanstile/core/lease/PartitionTable.java
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Partition rows as this VM has observed them, and the decisions to take and release
+ * Partition rows as this VM has observed them, and the decisions to acquire and release
  * partitions. Not safe for use by several threads.
  *
  * @author banyanstile contributors
@@ -36,7 +36,7 @@
 
 	private final Set<String> names = new TreeSet<>();
 
-	private @Nullable String unknown;
+	private @Nullable String unresolved;
 
 	private PartitionTable(OperationIds ids) {
 		this.ids = ids;
@@ -101,7 +101,7 @@
 	/**
 	 * Returns this VM's fencing token for a partition.
 	 * @param name name of the partition
-	 * @param held slot that this VM holds at this moment, or {@code null}
+	 * @param held slot that this VM currently holds, or {@code null}
 	 * @return the token, or 0 if this VM is not the owner
 	 */
 	public long tokenOf(String name, @Nullable SlotRecord held) {
@@ -112,7 +112,7 @@
 
 	/**
 	 * Returns the partitions that this VM owns.
-	 * @param held slot that this VM holds at this moment, or {@code null}
+	 * @param held slot that this VM currently holds, or {@code null}
 	 * @return fencing token of each partition
 	 */
 	public Map<String, Long> owned(@Nullable SlotRecord held) {
@@ -132,14 +132,14 @@
 	/**
 	 * Returns the next store call.
 	 * @param now the current time
-	 * @param held slot that this VM holds at this moment, or {@code null}
+	 * @param held slot that this VM currently holds, or {@code null}
 	 * @param slots the slot rows as observed
 	 * @param permitted whether ownership may change
 	 * @return the call, or {@code null} if there is nothing to do
 	 */
 	public @Nullable StoreStep next(long now, @Nullable SlotRecord held, SlotTable slots, boolean permitted) {
-		if (this.unknown != null) {
-			return new StoreStep.Read(List.of(PartitionRecord.key(this.unknown)), now);
+		if (this.unresolved != null) {
+			return new StoreStep.Read(List.of(PartitionRecord.key(this.unresolved)), now);
 		}
 		if (held == null || !permitted) {
 			return null;
@@ -147,13 +147,13 @@
 		List<SlotRecord> live = slots.live(now);
 		for (Observed observed : this.partitions.values()) {
 			PartitionRecord row = observed.record();
-			if (row.isOwnedBy(held) && !isToBeOwned(row.name(), live, held)) {
+			if (row.isOwnedBy(held) && !shouldOwn(row.name(), live, held)) {
 				return release(observed, slots, now);
 			}
 		}
 		for (String name : this.names) {
-			if (isToBeOwned(name, live, held)) {
-				StoreStep step = take(name, held, slots, now);
+			if (shouldOwn(name, live, held)) {
+				StoreStep step = acquire(name, held, slots, now);
 				if (step != null) {
 					return step;
 				}
@@ -162,7 +162,7 @@
 		return null;
 	}
 
-	private boolean isToBeOwned(String name, List<SlotRecord> live, SlotRecord held) {
+	private boolean shouldOwn(String name, List<SlotRecord> live, SlotRecord held) {
 		return this.names.contains(name) && held.vm().equals(RendezvousHash.preferred(name, live));
 	}
 
@@ -173,7 +173,7 @@
 		return write(released, List.of(new Condition(PartitionRecord.key(row.name()), observed.version())), slots, now);
 	}
 
-	private @Nullable StoreStep take(String name, SlotRecord held, SlotTable slots, long now) {
+	private @Nullable StoreStep acquire(String name, SlotRecord held, SlotTable slots, long now) {
 		Observed observed = this.partitions.get(name);
 		String key = PartitionRecord.key(name);
 		if (observed == null) {
@@ -185,7 +185,7 @@
 			return null;
 		}
 		Condition unchanged = new Condition(key, observed.version());
-		PartitionRecord taken = new PartitionRecord(name, held.slot(), held.epoch(), row.fencingToken() + 1);
+		PartitionRecord acquired = new PartitionRecord(name, held.slot(), held.epoch(), row.fencingToken() + 1);
 		List<Condition> conditions = new ArrayList<>(List.of(unchanged));
 		if (row.slot() != PartitionRecord.NO_SLOT && !row.isOwnedBy(held)) {
 			ObservedSlot owner = slots.get(row.slot());
@@ -199,12 +199,12 @@
 				conditions.add(new Condition(SlotRecord.key(row.slot()), owner.version()));
 			}
 		}
-		return write(taken, conditions, slots, now);
+		return write(acquired, conditions, slots, now);
 	}
 
 	/**
-	 * Returns whether the epoch in a partition row has ended for good. A slot row with a
-	 * lower epoch was read before the owner acquired the slot and shows nothing.
+	 * Returns whether the epoch in a partition row has ended permanently. A slot row with
+	 * a lower epoch was read before the owner acquired the slot and is no evidence.
 	 * @param row the partition row
 	 * @param owner the slot row as observed
 	 * @return whether the epoch has ended
@@ -229,7 +229,7 @@
 	public void written(StoreStep.Transact step, StoreReply reply, SlotTable slots, long now) {
 		Write write = step.transaction().writes().get(0);
 		if (reply instanceof StoreReply.Unknown) {
-			this.unknown = write.key().substring(PartitionRecord.PREFIX.length());
+			this.unresolved = write.key().substring(PartitionRecord.PREFIX.length());
 		}
 		else if (reply instanceof StoreReply.Decided decided) {
 			if (decided.result() instanceof TransactionResult.Committed committed) {
@@ -262,7 +262,7 @@
 	 * @param slots table whose codec applies
 	 */
 	public void readBack(List<Row> rows, SlotTable slots) {
-		this.unknown = null;
+		this.unresolved = null;
 		rows.forEach((row) -> observe(row, slots));
 	}
 
--- a/core/src/main/java/org/banyanstile/core/lease/SlotLease.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotLease.java
@@ -15,8 +15,9 @@
  * Lease of this VM's slot. Not safe for use by several threads.
  * <p>
  * The lease is measured from before its last confirmed write was sent. A lease that has
- * ended is never revived: the slot is acquired again with the next epoch, so that
- * ownership that others may have taken meanwhile is not assumed to be retained.
+ * ended is never renewed: the slot is acquired again with the next epoch, so that
+ * partitions that other VMs may have taken over meanwhile are not assumed to be still
+ * owned.
  *
  * @author banyanstile contributors
  */
@@ -35,7 +36,7 @@
 	/**
 	 * Longest interruption of the outage rule that does not end a lease that depends on
 	 * it. It gives the holder time to renew when the store returns, and is part of the
-	 * time that takers wait.
+	 * time that other VMs wait before a takeover.
 	 */
 	public static final long GRACE_NANOS = 1_000_000_000L;
 
@@ -53,15 +54,15 @@
 
 	private long targetVersion;
 
-	private boolean unknown;
+	private boolean outcomeUnknown;
 
 	private @Nullable SlotRecord held;
 
 	private long version;
 
-	private long base;
+	private long leaseStart;
 
-	private long outageSeen;
+	private long outageRuleSeenAt;
 
 	private VmState state = VmState.LIVE;
 
@@ -100,8 +101,8 @@
 	}
 
 	/**
-	 * Ends the lease if it has run out. Call at least four times a second: a lease that
-	 * depends on the outage rule ends if the rule was not seen to hold for
+	 * Ends the lease if it has expired. Call at least four times a second: a lease that
+	 * depends on the outage rule ends if no call has found the rule to hold for
 	 * {@link #GRACE_NANOS}.
 	 * @param now the current time
 	 * @param outage whether the outage rule holds now
@@ -111,27 +112,27 @@
 		if (this.held == null) {
 			return false;
 		}
-		boolean leased = now - this.base < LEASE_NANOS;
-		boolean continued = now - this.outageSeen <= GRACE_NANOS;
+		boolean leased = now - this.leaseStart < LEASE_NANOS;
+		boolean continued = now - this.outageRuleSeenAt <= GRACE_NANOS;
 		if (outage && (leased || continued)) {
-			this.outageSeen = now;
+			this.outageRuleSeenAt = now;
 		}
 		if (!leased && !continued) {
 			this.held = null;
 			this.attempts.clear();
-			this.unknown = false;
+			this.outcomeUnknown = false;
 		}
 		return this.held != null && this.state != VmState.RELEASED;
 	}
 
 	/**
-	 * Returns whether {@link #check} depends on the outage rule at a time. The rule is
-	 * costly, and a lease that is renewed in time never needs it.
+	 * Returns whether the result of {@link #check} depends on the outage rule. The rule
+	 * is costly to evaluate, and a lease that is renewed in time never needs it.
 	 * @param now the current time
 	 * @return whether it does
 	 */
 	boolean needsOutageRule(long now) {
-		return this.held != null && now - this.base >= LEASE_NANOS - 2 * GRACE_NANOS;
+		return this.held != null && now - this.leaseStart >= LEASE_NANOS - 2 * GRACE_NANOS;
 	}
 
 	/**
@@ -159,12 +160,12 @@
 	 * @return the call, or {@code null} if there is nothing to do
 	 */
 	public @Nullable StoreStep next(long now, SlotTable slots, boolean permitted) {
-		if (this.unknown) {
+		if (this.outcomeUnknown) {
 			return new StoreStep.Read(List.of(SlotRecord.key(this.target)), now);
 		}
 		SlotRecord current = this.held;
 		if (current != null) {
-			boolean due = now - this.base >= RENEW_NANOS || current.state() != this.state;
+			boolean due = now - this.leaseStart >= RENEW_NANOS || current.state() != this.state;
 			return due ? write(current.next(this.state, this.ids.next()), this.version, now, slots) : null;
 		}
 		if (this.state == VmState.RELEASED) {
@@ -179,9 +180,9 @@
 			SlotRecord row = slot.record();
 			if (row.isHeld() && row.vm().equals(this.template.vm())
 					&& row.vmAddress().equals(this.template.vmAddress())) {
-				// This process has bound the address in the row, so the old one has
-				// ended.
-				return take(slot.record().slot(), slot, now, slots);
+				// This process has bound the address in the row, so the process that
+				// wrote the row has ended.
+				return acquireSlot(slot.record().slot(), slot, now, slots);
 			}
 		}
 		if (!permitted) {
@@ -192,13 +193,13 @@
 			int slot = (start + i) % this.slotCount;
 			ObservedSlot observed = slots.get(slot);
 			if (observed == null || !observed.record().isHeld() || observed.isExpired(now)) {
-				return take(slot, observed, now, slots);
+				return acquireSlot(slot, observed, now, slots);
 			}
 		}
 		return null;
 	}
 
-	private StoreStep take(int slot, @Nullable ObservedSlot observed, long now, SlotTable slots) {
+	private StoreStep acquireSlot(int slot, @Nullable ObservedSlot observed, long now, SlotTable slots) {
 		long epoch = (observed != null) ? observed.record().epoch() + 1 : 1;
 		long condition = (observed != null) ? observed.version() : Condition.ABSENT;
 		return write(this.template.acquire(slot, epoch, this.state, this.ids.next()), condition, now, slots);
@@ -225,7 +226,7 @@
 	public void written(StoreStep.Transact step, StoreReply reply, SlotTable slots, long now) {
 		String key = SlotRecord.key(this.target);
 		if (reply instanceof StoreReply.Unknown) {
-			this.unknown = true;
+			this.outcomeUnknown = true;
 		}
 		else if (reply instanceof StoreReply.Failed) {
 			this.attempts.remove(step.transaction().operationId());
@@ -236,11 +237,11 @@
 				Long written = committed.versions().get(key);
 				if (attempt != null && written != null) {
 					Row row = new Row(key, written, attempt.row().encode(slots.codec()));
-					settle(row, slots, now);
+					applyRow(row, slots, now);
 				}
 			}
 			else if (decided.result() instanceof TransactionResult.Conflict conflict) {
-				settle(find(conflict.current(), key), slots, now);
+				applyRow(find(conflict.current(), key), slots, now);
 			}
 		}
 	}
@@ -252,13 +253,13 @@
 	 * @param now time at which the reply was received
 	 */
 	public void readBack(List<Row> rows, SlotTable slots, long now) {
-		this.unknown = false;
-		settle(find(rows, SlotRecord.key(this.target)), slots, now);
+		this.outcomeUnknown = false;
+		applyRow(find(rows, SlotRecord.key(this.target)), slots, now);
 	}
 
-	private void settle(@Nullable Row row, SlotTable slots, long now) {
+	private void applyRow(@Nullable Row row, SlotTable slots, long now) {
 		if (row == null || row.version() == this.targetVersion) {
-			// The condition of all attempts still holds, so any of them may yet take
+			// The condition of all attempts still holds, so any of them may still take
 			// effect.
 			return;
 		}
@@ -270,12 +271,12 @@
 			return;
 		}
 		if (this.held == null) {
-			// The outage rule may prolong only this lease, not one that ended before.
-			this.outageSeen = attempt.sentAt();
+			// The outage rule may extend only this lease, not one that ended before.
+			this.outageRuleSeenAt = attempt.sentAt();
 		}
 		this.held = current;
 		this.version = row.version();
-		this.base = attempt.sentAt();
+		this.leaseStart = attempt.sentAt();
 	}
 
 	private static @Nullable Row find(List<Row> rows, String key) {
--- a/core/src/main/java/org/banyanstile/core/lease/SlotRecord.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotRecord.java
@@ -16,7 +16,7 @@
  *
  * @param slot number of the slot
  * @param vm VM that holds it
- * @param epoch rises with each acquisition of the slot
+ * @param epoch increases with each acquisition of the slot
  * @param dataCentre data centre of the VM
  * @param callerAddress address for callers, {@code ip:port}
  * @param vmAddress address for other VMs, {@code ip:port}
@@ -74,7 +74,8 @@
 	}
 
 	/**
-	 * Returns whether the slot is held by a VM, as far as the row shows.
+	 * Returns whether the slot is held by a VM according to the row. The lease may have
+	 * expired.
 	 * @return whether it is not released
 	 */
 	public boolean isHeld() {
--- a/core/src/main/java/org/banyanstile/core/lease/SlotTable.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotTable.java
@@ -22,7 +22,7 @@
 
 	/**
 	 * Time for which a VM must observe a row unchanged before it takes the slot: the
-	 * lease of 15 s and 1 s for different clock rates.
+	 * lease of 15 s and a margin of 1 s for different clock rates.
 	 */
 	public static final long TAKEOVER_NANOS = SlotLease.LEASE_NANOS + 1_000_000_000L;
 
--- a/core/src/main/java/org/banyanstile/core/lease/StoreSchedule.java
+++ b/core/src/main/java/org/banyanstile/core/lease/StoreSchedule.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Times of the reads that a VM repeats, and the pause after a failed call.
+ * Times of periodic scans, and the pause after a failed store call.
  *
  * @author banyanstile contributors
  */
@@ -16,8 +16,8 @@
 	private static final long SCAN_NANOS = 5 * SECOND;
 
 	/**
-	 * Longest pause after a failed call. Half the grace of a lease that depends on the
-	 * outage rule, so that it is renewed in time when the store returns.
+	 * Longest pause after a failed call. Half of {@link SlotLease#GRACE_NANOS}, so that a
+	 * lease that depends on the outage rule is renewed in time when the store returns.
 	 */
 	private static final long RETRY_NANOS = SlotLease.GRACE_NANOS / 2;
 
--- a/core/src/main/java/org/banyanstile/core/lease/StoreStep.java
+++ b/core/src/main/java/org/banyanstile/core/lease/StoreStep.java
@@ -5,7 +5,7 @@
 import org.banyanstile.core.store.Transaction;
 
 /**
- * A store call that a decision asks for.
+ * A store call to be executed, for example by {@link StoreReply#execute}.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/lease/VmCoordinator.java
+++ b/core/src/main/java/org/banyanstile/core/lease/VmCoordinator.java
@@ -68,7 +68,7 @@
 
 	/**
 	 * Creates the coordinator of a VM.
-	 * @param template name and addresses of this VM; it has bound {@code vmAddress}
+	 * @param template name and addresses of this VM, which has bound {@code vmAddress}
 	 * @param slotCount number of slots of the fleet
 	 * @param codec codec of the rows
 	 * @param random source of jitter and operation identifiers
@@ -117,8 +117,8 @@
 		return this.lease.check(now, this.lease.needsOutageRule(now) && this.gate.outage(now));
 	}
 
-	private @Nullable StoreStep issue(Issuer part, @Nullable StoreStep step) {
-		this.issuer = part;
+	private @Nullable StoreStep issue(Issuer source, @Nullable StoreStep step) {
+		this.issuer = source;
 		return step;
 	}
 
@@ -160,7 +160,7 @@
 			case LEASE -> this.lease.readBack(rows, this.slots, now);
 			case PARTITIONS -> this.partitions.readBack(rows, this.slots);
 			case SCAN -> scanned(((StoreStep.Scan) step).prefix(), rows, now);
-			default -> throw new IllegalStateException(this.issuer + " reads nothing");
+			default -> throw new IllegalStateException(this.issuer + " issues no reads");
 		}
 	}
 
@@ -196,7 +196,7 @@
 	/**
 	 * Begins a round of heartbeats.
 	 * @param now time before they are sent
-	 * @return the heartbeat without echo and promise
+	 * @return the heartbeat, without echo and with floors not suspended
 	 */
 	public Heartbeat beginHeartbeats(long now) {
 		SlotRecord held = held(now);
@@ -210,7 +210,8 @@
 	 * Completes a heartbeat for one receiver.
 	 * @param round the result of {@link #beginHeartbeats}
 	 * @param receiver the receiver
-	 * @param floorsSuspended the promise to the receiver
+	 * @param floorsSuspended whether this VM leaves its floors unused for the partitions
+	 * of the receiver
 	 * @return the heartbeat
 	 */
 	public Heartbeat address(Heartbeat round, VmId receiver, boolean floorsSuspended) {
@@ -267,7 +268,7 @@
 
 	/**
 	 * Returns whether the slot was released.
-	 * @return whether nothing remains to be released
+	 * @return whether the release was confirmed or there is nothing to release
 	 */
 	public boolean isReleased() {
 		return this.lease.isReleased();
@@ -370,8 +371,8 @@
 	}
 
 	/**
-	 * Returns the reads of the configuration head, which are made beside the calls of
-	 * {@link #next}.
+	 * Returns the reads of the configuration head, which are made independently of the
+	 * calls of {@link #next}.
 	 * @return the reads
 	 */
 	public HeadPoll headPoll() {
@@ -388,7 +389,7 @@
 	}
 
 	/**
-	 * Part of the coordinator that asked for the store call in progress.
+	 * Component that issued the store call in progress.
 	 */
 	private enum Issuer {
 
--- a/core/src/main/java/org/banyanstile/core/lease/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/lease/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Slot leases and partition ownership, as decisions about rows of the table service.
+ * Slot leases and partition ownership. The classes decide which rows of the table service
+ * to read and write.
  */
 @NullMarked
 package org.banyanstile.core.lease;
--- a/core/src/test/java/org/banyanstile/core/lease/FleetRandomTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/FleetRandomTests.java
@@ -15,8 +15,9 @@
 import static org.hamcrest.Matchers.notNullValue;
 
 /**
- * Random failures of a fleet in virtual time. Guards against two VMs that believe they
- * hold the same slot or partition, and against a fleet that does not recover.
+ * Random failures of a fleet in virtual time. Guards against two VMs that act as holder
+ * of the same slot or partition at the same time, and against a fleet that does not
+ * recover.
  *
  * @author banyanstile contributors
  */
@@ -66,9 +67,9 @@
 			case FREEZE -> {
 				node.frozen = true;
 			}
-			case CUT -> {
-				node.cutFromStore = fleet.random.nextInt(4) > 0;
-				node.cutFromPeers = fleet.random.nextInt(4) > 0;
+			case ISOLATE -> {
+				node.isolatedFromStore = fleet.random.nextInt(4) > 0;
+				node.isolatedFromPeers = fleet.random.nextInt(4) > 0;
 			}
 			case OUTAGE -> {
 				fleet.storeDown = true;
@@ -92,8 +93,8 @@
 			}
 		}
 		for (VirtualFleet.Node node : List.copyOf(fleet.nodes.values())) {
-			node.cutFromStore = false;
-			node.cutFromPeers = false;
+			node.isolatedFromStore = false;
+			node.isolatedFromPeers = false;
 			if (node.frozen) {
 				node.resume();
 			}
@@ -105,7 +106,7 @@
 	 */
 	private enum Fault {
 
-		KILL, FREEZE, CUT, OUTAGE, LOST_REPLIES, SLOW_STORE
+		KILL, FREEZE, ISOLATE, OUTAGE, LOST_REPLIES, SLOW_STORE
 
 	}
 
--- a/core/src/test/java/org/banyanstile/core/lease/FleetTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/FleetTests.java
@@ -15,7 +15,7 @@
 
 /**
  * Tests of a fleet of {@link VmCoordinator} in virtual time. The fleet checks in each
- * step that no two serving VMs hold a slot or partition.
+ * step that no two serving VMs hold the same slot or partition.
  *
  * @author banyanstile contributors
  */
@@ -67,12 +67,12 @@
 		long before = this.fleet.nodes.get(owner).vm.tokenOf("team/0", this.fleet.nodes.get(owner).clock());
 		this.fleet.kill(owner);
 		this.fleet.run(30);
-		String taker = this.fleet.ownerOf("team/0");
-		assertThat(taker, not(equalTo(owner)));
-		assertThat(this.fleet.nodes.get(taker).vm.tokenOf("team/0", this.fleet.nodes.get(taker).clock()),
+		String newOwner = this.fleet.ownerOf("team/0");
+		assertThat(newOwner, not(equalTo(owner)));
+		assertThat(this.fleet.nodes.get(newOwner).vm.tokenOf("team/0", this.fleet.nodes.get(newOwner).clock()),
 				greaterThan(before));
-		assertThat("the slot of the failed VM was released, so that its epoch is seen to end",
-				this.fleet.nodes.get(taker).vm.registered().size(), is(2));
+		assertThat("the slot of the failed VM was released, so that other VMs learn that its epoch has ended",
+				this.fleet.nodes.get(newOwner).vm.registered().size(), is(2));
 		this.fleet.start(owner);
 		this.fleet.run(30);
 		assertThat("returned to the preferred owner", this.fleet.ownerOf("team/0"), equalTo(owner));
@@ -82,23 +82,23 @@
 	void isolatedVmStopsWithinFourSecondsWhileTheOthersServe() {
 		start(3);
 		VirtualFleet.Node node = this.fleet.nodes.get("vm-1");
-		node.cutFromStore = true;
-		node.cutFromPeers = true;
+		node.isolatedFromStore = true;
+		node.isolatedFromPeers = true;
 		this.fleet.run(4);
 		assertThat(node.serving(), is(false));
 		assertThat(this.fleet.serving(), is(2L));
 		this.fleet.run(30);
 		assertAllOwned();
-		node.cutFromStore = false;
-		node.cutFromPeers = false;
+		node.isolatedFromStore = false;
+		node.isolatedFromPeers = false;
 		this.fleet.run(40);
 		assertThat(this.fleet.serving(), is(3L));
 	}
 
 	@Test
-	void vmCutFromTheStoreAloneStopsAlthoughItHearsTheOthers() {
+	void vmIsolatedFromTheStoreAloneStopsAlthoughItReceivesHeartbeats() {
 		start(3);
-		this.fleet.nodes.get("vm-1").cutFromStore = true;
+		this.fleet.nodes.get("vm-1").isolatedFromStore = true;
 		this.fleet.run(4);
 		assertThat(this.fleet.nodes.get("vm-1").serving(), is(false));
 	}
@@ -150,18 +150,19 @@
 	}
 
 	@Test
-	void ownerThatTheStoreReturnsForLastStopsBeforeItIsReplaced() {
+	void ownerThatReachesTheStoreAgainLastStopsBeforeItIsReplaced() {
 		for (int i = 0; i < 10; i++) {
 			start(3);
 			VirtualFleet.Node owner = this.fleet.nodes.get(this.fleet.ownerOf("team/0"));
 			this.fleet.storeDown = true;
 			this.fleet.run(20 + i);
-			owner.cutFromStore = true;
+			owner.isolatedFromStore = true;
 			this.fleet.storeDown = false;
-			// A renewal of the cut owner can arrive 30 s late and delays the takeover.
+			// A renewal of the isolated owner can arrive 30 s late, which delays the
+			// takeover.
 			this.fleet.run(60);
 			assertAllOwned();
-			owner.cutFromStore = false;
+			owner.isolatedFromStore = false;
 		}
 	}
 
@@ -177,8 +178,8 @@
 
 	@Test
 	void noGateClosesForAMomentWhereverInThePollPeriodsAnOutageBegins() {
-		for (int phase = 0; phase < 100; phase++) {
-			VirtualFleet fleet = new VirtualFleet(phase);
+		for (int seed = 0; seed < 100; seed++) {
+			VirtualFleet fleet = new VirtualFleet(seed);
 			fleet.heartbeatDelay = VirtualFleet.SECOND * 4 / 10;
 			for (int i = 0; i < 3; i++) {
 				fleet.start("vm-" + i);
@@ -188,13 +189,13 @@
 				}
 			}
 			fleet.run(30);
-			for (int step = 0; step < phase % 20; step++) {
+			for (int step = 0; step < seed % 20; step++) {
 				fleet.step();
 			}
 			fleet.storeDown = true;
 			for (int step = 0; step < 120; step++) {
 				fleet.step();
-				assertThat("seed " + phase + " step " + step, fleet.serving(), is(3L));
+				assertThat("seed " + seed + " step " + step, fleet.serving(), is(3L));
 			}
 		}
 	}
--- a/core/src/test/java/org/banyanstile/core/lease/PartitionTableTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/PartitionTableTests.java
@@ -91,12 +91,12 @@
 		put(this.first, 0);
 		drive(table("vm-a", "team/0"), this.first, 0);
 		put(slot(1, "vm-b", "dc-2", VmState.LIVE), 15 * SECOND);
-		PartitionTable taker = table("vm-b", "team/0");
-		taker.observeAll(this.store.withPrefix(PartitionRecord.PREFIX), this.slots);
-		StoreStep step = taker.next(17 * SECOND, this.second, this.slots, true);
+		PartitionTable successor = table("vm-b", "team/0");
+		successor.observeAll(this.store.withPrefix(PartitionRecord.PREFIX), this.slots);
+		StoreStep step = successor.next(17 * SECOND, this.second, this.slots, true);
 		put(slot(0, "vm-a", "dc-1", VmState.LIVE), 17 * SECOND);
-		taker.written((StoreStep.Transact) step, StoreReply.execute(step, this.store), this.slots, 17 * SECOND);
-		assertThat("the holder renewed in between", taker.tokenOf("team/0", this.second), equalTo(0L));
+		successor.written((StoreStep.Transact) step, StoreReply.execute(step, this.store), this.slots, 17 * SECOND);
+		assertThat("the holder renewed in between", successor.tokenOf("team/0", this.second), equalTo(0L));
 	}
 
 	@Test
--- a/core/src/test/java/org/banyanstile/core/lease/SlotLeaseTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/SlotLeaseTests.java
@@ -18,8 +18,8 @@
 import static org.hamcrest.Matchers.nullValue;
 
 /**
- * Tests for {@link SlotLease} at the interleavings that break a lease without read-back,
- * or one that measures from the reply.
+ * Tests for {@link SlotLease}. Guards against a lease that does not read back a write
+ * with an unknown outcome, and against one that is measured from the reply.
  *
  * @author banyanstile contributors
  */
@@ -99,7 +99,7 @@
 	}
 
 	@Test
-	void lateWriteThatOvertakesItsRepeatIsRecognized() {
+	void lateWriteThatOvertakesItsRetryIsRecognized() {
 		drive(this.lease, 0, 0);
 		this.store.failNext(Fault.DELAYED);
 		drive(this.lease, 5 * SECOND, 7 * SECOND);
@@ -107,7 +107,7 @@
 		this.store.applyDelayed();
 		drive(this.lease, 8 * SECOND, 8 * SECOND);
 		assertThat(this.lease.check(20 * SECOND - 1, false), is(true));
-		assertThat("the repeat conflicted with the late write of 5 s", this.lease.check(20 * SECOND, false), is(false));
+		assertThat("the retry conflicted with the late write of 5 s", this.lease.check(20 * SECOND, false), is(false));
 	}
 
 	@Test
@@ -184,7 +184,7 @@
 		assertThat(restarted.held().epoch(), equalTo(2L));
 		this.lease.check(6 * SECOND, false);
 		drive(this.lease, 6 * SECOND, 6 * SECOND);
-		assertThat("the old process finds itself replaced", this.lease.held(), nullValue());
+		assertThat("the old process learns that it was replaced", this.lease.held(), nullValue());
 	}
 
 	@Test
--- a/core/src/test/java/org/banyanstile/core/lease/VirtualFleet.java
+++ b/core/src/test/java/org/banyanstile/core/lease/VirtualFleet.java
@@ -16,8 +16,8 @@
 import org.banyanstile.core.store.TransactionResult;
 
 /**
- * Several VMs over one table store in virtual time, with kills, freezes, cuts, outages
- * and lost replies. Clocks of the VMs have different origins. Not a test itself.
+ * Several VMs over one table store in virtual time, with killed, frozen and isolated VMs,
+ * store outages and lost replies. Clocks of the VMs have different origins.
  *
  * @author banyanstile contributors
  */
@@ -146,9 +146,9 @@
 
 		boolean frozen;
 
-		boolean cutFromStore;
+		boolean isolatedFromStore;
 
-		boolean cutFromPeers;
+		boolean isolatedFromPeers;
 
 		private final long origin = VirtualFleet.this.random.nextLong() / 4;
 
@@ -220,7 +220,7 @@
 		private void heartbeats() {
 			var round = this.vm.beginHeartbeats(clock());
 			for (Node peer : VirtualFleet.this.nodes.values()) {
-				if (peer != this && !this.cutFromPeers && !peer.cutFromPeers) {
+				if (peer != this && !this.isolatedFromPeers && !peer.isolatedFromPeers) {
 					var heartbeat = this.vm.address(round, VmId.of(peer.name), true);
 					long delay = VirtualFleet.this.heartbeatDelay
 							+ SECOND / 1000 * (1 + VirtualFleet.this.random.nextInt(20));
@@ -247,8 +247,9 @@
 			}
 			at(fleet.now + TIMEOUT, () -> deliver(() -> finish(step, new StoreReply.Unknown())));
 			long delay = fleet.storeDelay;
-			if (this.cutFromStore) {
-				// A packet that was under way when the route broke can still arrive.
+			if (this.isolatedFromStore) {
+				// A packet that was in transit when the connection broke can still
+				// arrive.
 				delay = (long) (fleet.random.nextDouble() * 30 * SECOND);
 			}
 			at(fleet.now + delay, () -> arrive(step));
@@ -260,7 +261,7 @@
 				return;
 			}
 			StoreReply reply = apply(step);
-			if (!this.cutFromStore && fleet.random.nextDouble() >= fleet.lostReplies) {
+			if (!this.isolatedFromStore && fleet.random.nextDouble() >= fleet.lostReplies) {
 				reply(step, reply, fleet.now + fleet.storeDelay);
 			}
 		}
@@ -301,11 +302,11 @@
 	}
 
 	/**
-	 * Something that happens at a time.
+	 * Scheduled event.
 	 *
 	 * @param at the time
 	 * @param order order among events at the same time
-	 * @param action what happens
+	 * @param action the action
 	 * @author banyanstile contributors
 	 */
 	private record Event(long at, long order, Runnable action) {
