--- a/core/src/main/java/org/banyanstile/core/rollout/AcceptanceTracker.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/AcceptanceTracker.java
@@ -7,21 +7,23 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Decides when a stored version is accepted, which means in force on each VM that serves.
- * Not safe for use by several threads.
+ * Decides when a stored configuration version is accepted, which means that it is in
+ * force on each VM that serves. Not safe for use by several threads.
  * <p>
- * It is accepted once all registered VMs acknowledged it, according to a list of VMs that
- * was read after the commit; a VM that registers later reads the head before it serves.
- * It is also accepted once more than half acknowledged it and the others have stopped:
- * without a confirmation 4 s after the commit ({@link Freshness}), and under the outage
- * rule when the heartbeats of that majority have replaced older ones.
+ * A version is accepted once all registered VMs have acknowledged it, according to a list
+ * of VMs that was read after the commit; a VM that registers later reads the head before
+ * it serves. It is also accepted once more than half have acknowledged it and the others
+ * have stopped serving: a VM without a confirmation stops 4 s after the commit
+ * ({@link Freshness}), and a VM that serves under the outage rule stops when the
+ * heartbeats of that majority have replaced older ones.
  *
  * @author banyanstile contributors
  */
 public final class AcceptanceTracker {
 
 	/**
-	 * Time after the commit in which each VM that has not seen the version stops.
+	 * Time after the commit within which each VM that has not received the version stops
+	 * serving.
 	 */
 	public static final long STOPPED_NANOS = 5_000_000_000L;
 
@@ -45,7 +47,7 @@
 	}
 
 	/**
-	 * Creates a tracker that knows no version.
+	 * Creates a tracker without a version.
 	 * @return the tracker
 	 */
 	public static AcceptanceTracker create() {
@@ -79,12 +81,12 @@
 			.filter((vm) -> reported.getOrDefault(vm, 0L) < this.version)
 			.sorted()
 			.toList();
-		boolean half = 2 * (registered.size() - missing.size()) > registered.size();
-		if (half && !this.majority) {
+		boolean isMajority = 2 * (registered.size() - missing.size()) > registered.size();
+		if (isMajority && !this.majority) {
 			this.majorityAt = now;
 		}
-		this.majority = half;
-		boolean all = half && missing.isEmpty() && registeredAt - this.seenAt >= 0;
+		this.majority = isMajority;
+		boolean all = isMajority && missing.isEmpty() && registeredAt - this.seenAt >= 0;
 		if (this.version > 0 && (all || othersStopped(now))) {
 			this.accepted = this.version;
 		}
--- a/core/src/main/java/org/banyanstile/core/rollout/ConfigurationStore.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/ConfigurationStore.java
@@ -36,12 +36,12 @@
 	private static final String BODY_PREFIX = "config/body/";
 
 	/**
-	 * Contents that are retained. A lost reply is read back from them, so they must reach
-	 * further back than the changes that others can make in that time.
+	 * Number of contents that are retained. A commit whose reply was lost is looked up in
+	 * them, so they must cover the versions that others can commit in that time.
 	 */
-	private static final long RETAINED = 64;
+	private static final long RETAINED_BODIES = 64;
 
-	private static final int ATTEMPTS = 3;
+	private static final int RESOLVE_ATTEMPTS = 3;
 
 	private final TableStore store;
 
@@ -69,7 +69,7 @@
 	/**
 	 * Reads the current version.
 	 * @return the version, 0 if none was ever stored
-	 * @throws StoreException if the service gave no answer
+	 * @throws StoreException if the service gave no usable response
 	 */
 	public long head() throws StoreException {
 		return version(this.store.read(List.of(HEAD_KEY)));
@@ -88,7 +88,7 @@
 	 * Reads the content of a version.
 	 * @param version the version
 	 * @return the content, or {@code null} if it does not exist or is no longer retained
-	 * @throws StoreException if the service gave no answer
+	 * @throws StoreException if the service gave no usable response
 	 */
 	public @Nullable String body(long version) throws StoreException {
 		Row row = find(this.store.read(List.of(BODY_PREFIX + version)), BODY_PREFIX + version);
@@ -96,13 +96,13 @@
 	}
 
 	/**
-	 * Stores a new version. A lost reply is resolved by reading back, as far as the store
-	 * answers.
+	 * Stores a new version. If the reply is lost, the outcome is determined by reading
+	 * the rows back, as far as the store responds.
 	 * @param replaced the version that it replaces
 	 * @param body the content
 	 * @return the outcome
-	 * @throws StoreException if nothing was and nothing will be stored, because the
-	 * service could not be used
+	 * @throws StoreException if nothing was and nothing will be stored, because the call
+	 * to the service failed
 	 */
 	public CommitResult commit(long replaced, String body) throws StoreException {
 		List<Row> rows = this.store.read(List.of(HEAD_KEY));
@@ -119,7 +119,7 @@
 		catch (StoreOutcomeUnknownException ex) {
 			result = new CommitResult.Unknown(pending);
 		}
-		for (int i = 0; i < ATTEMPTS && result instanceof CommitResult.Unknown; i++) {
+		for (int i = 0; i < RESOLVE_ATTEMPTS && result instanceof CommitResult.Unknown; i++) {
 			result = resolve(pending);
 		}
 		return result;
@@ -128,8 +128,8 @@
 	/**
 	 * Finds out whether a write took effect. If the store shows that it has not, the same
 	 * transaction is sent again: both require that {@code config/head} is unchanged, so
-	 * only one of them can take effect, and after an answer to the second one the first
-	 * can no longer do so.
+	 * only one of them can take effect, and once the store has responded to the second
+	 * one the first can no longer take effect.
 	 * @param pending the write
 	 * @return the outcome, possibly still unknown
 	 */
@@ -141,30 +141,30 @@
 			if (unchanged && find(rows, bodyKey(pending)) == null) {
 				return decided(pending, this.store.transact(transaction(pending)));
 			}
-			return compare(pending, rows);
+			return outcomeFrom(pending, rows);
 		}
 		catch (StoreException ex) {
-			// Even a refusal of the second write says nothing about the first one.
+			// Even a rejected second write says nothing about the first one.
 			return new CommitResult.Unknown(pending);
 		}
 	}
 
 	private CommitResult decided(PendingCommit pending, TransactionResult result) {
 		if (result instanceof TransactionResult.Conflict conflict) {
-			return compare(pending, conflict.current());
+			return outcomeFrom(pending, conflict.current());
 		}
 		return new CommitResult.Committed(pending.version());
 	}
 
 	/**
-	 * Decides from rows that are not those that the write replaces.
+	 * Determines the outcome from rows that differ from those that the write replaces.
 	 * @param pending the write
 	 * @param rows the rows of the head and of the new version, as far as they exist
 	 * @return the outcome
 	 */
-	private CommitResult compare(PendingCommit pending, List<Row> rows) {
+	private CommitResult outcomeFrom(PendingCommit pending, List<Row> rows) {
 		Row body = find(rows, bodyKey(pending));
-		if (body == null && version(rows) >= pending.version() + RETAINED) {
+		if (body == null && version(rows) >= pending.version() + RETAINED_BODIES) {
 			return new CommitResult.Unknown(pending);
 		}
 		if (body != null && Fields.of(body, this.codec).text("operationId").equals(pending.operationId())) {
@@ -177,8 +177,8 @@
 		List<Write> writes = new ArrayList<>();
 		writes.add(new Write(HEAD_KEY, encode(pending, "version", pending.version())));
 		writes.add(new Write(bodyKey(pending), encode(pending, "body", pending.body())));
-		if (pending.version() > RETAINED) {
-			writes.add(new Write(BODY_PREFIX + (pending.version() - RETAINED), null));
+		if (pending.version() > RETAINED_BODIES) {
+			writes.add(new Write(BODY_PREFIX + (pending.version() - RETAINED_BODIES), null));
 		}
 		return new Transaction(pending.operationId(),
 				List.of(new Condition(HEAD_KEY, pending.headRow()), Condition.absent(bodyKey(pending))), writes);
--- a/core/src/main/java/org/banyanstile/core/rollout/Freshness.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/Freshness.java
@@ -1,13 +1,14 @@
 package org.banyanstile.core.rollout;
 
 /**
- * Decides whether this VM knows that it serves the current version. A version counts as
- * accepted 5 s after its commit even if a VM has not acknowledged it; that is correct
- * only if such a VM has stopped by then. Any store contact is not enough for that: lease
- * renewals can succeed while reads of the head fail or return old rows. Not safe for use
- * by several threads.
+ * Decides whether this VM has confirmed that it serves the current configuration version.
+ * A version counts as accepted 5 s after its commit even if a VM has not acknowledged it,
+ * which is correct only if such a VM has stopped serving by then. A successful store call
+ * of any kind is no confirmation: lease renewals can succeed while reads of the head fail
+ * or return old rows. Not safe for use by several threads.
  * <p>
- * Outside the outage rule a VM serves only while {@link #isFresh(long)} holds.
+ * Unless the outage rule permits serving, a VM serves only while {@link #isFresh(long)}
+ * holds.
  *
  * @author banyanstile contributors
  */
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * Creates the state of a VM that has confirmed nothing.
+	 * Creates the state of a VM without a confirmation.
 	 * @return the state
 	 */
 	public static Freshness create() {
@@ -87,8 +88,8 @@
 	}
 
 	/**
-	 * Records that this VM was registered. Confirmations of reads that were sent before
-	 * do not count: until it is registered, no acceptance waits for this VM.
+	 * Records that this VM was registered. Reads that were sent before do not confirm a
+	 * version, since versions can be accepted without this VM until it is registered.
 	 * @param at time after the registration was committed
 	 */
 	public void registered(long at) {
--- a/core/src/main/java/org/banyanstile/core/rollout/PeerBootstrap.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/PeerBootstrap.java
@@ -11,7 +11,8 @@
 /**
  * Chooses the version with which a VM starts while the store is down: the highest among
  * the replies of more than half of the registered VMs. An accepted version was
- * acknowledged by more than half of them, so at least one of the replies has it.
+ * acknowledged by more than half of them, so at least one of the replies names it or a
+ * later one.
  *
  * @author banyanstile contributors
  */
@@ -22,7 +23,7 @@
 
 	/**
 	 * Chooses the peer from which to fetch the configuration.
-	 * @param replies the replies received so far, one a peer
+	 * @param replies the replies received so far, one per peer
 	 * @return the reply with the highest version, or empty if too few VMs replied or none
 	 * has a version
 	 */
--- a/core/src/main/java/org/banyanstile/core/rollout/RolloutProgress.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/RolloutProgress.java
@@ -5,7 +5,7 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Progress of a version.
+ * Progress of the rollout of a version.
  *
  * @param version the version
  * @param accepted whether it is in force on each VM that serves
--- a/core/src/main/java/org/banyanstile/core/rollout/VersionHolder.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/VersionHolder.java
@@ -3,9 +3,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The version in force at this VM. It only rises: pushes, reads and fetches from peers
- * can arrive in any order, and an old one must not bring a withdrawn key back. Safe for
- * use by several threads.
+ * The configuration version in force at this VM. It only increases: pushes, reads and
+ * fetches from peers can arrive in any order, and an old one must not make a withdrawn
+ * key valid again. Safe for use by several threads.
  *
  * @param <C> type of the content
  * @author banyanstile contributors
--- a/core/src/main/java/org/banyanstile/core/rollout/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Versions of the configuration: storing one, applying it, and deciding when it is in
- * force everywhere.
+ * Versions of the configuration: storing them, applying them, and deciding when one is in
+ * force on all VMs that serve.
  */
 @NullMarked
 package org.banyanstile.core.rollout;
--- a/core/src/test/java/org/banyanstile/core/rollout/ConfigurationStoreTests.java
+++ b/core/src/test/java/org/banyanstile/core/rollout/ConfigurationStoreTests.java
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Guards against telling the operator "not stored" about a version that is in force.
+	 * Guards against reporting a version that is in force as not stored.
 	 */
 	@Test
 	void aLostReplyIsReadBackAsCommitted() throws Exception {
@@ -74,7 +74,7 @@
 	}
 
 	/**
-	 * Guards against a late first write that takes the head back behind a later version.
+	 * Guards against a late first write that resets the head to an earlier version.
 	 */
 	@Test
 	void aLateWriteTakesNoEffectAfterTheSecondOne() throws Exception {
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * Guards against "not stored" when the second write is refused while the first one
-	 * can still take effect.
+	 * Guards against reporting "not stored" when the second write is rejected while the
+	 * first one can still take effect.
 	 */
 	@Test
 	void aRefusedSecondWriteLeavesTheOutcomeUnknown() throws Exception {
@@ -109,8 +109,7 @@
 	}
 
 	/**
-	 * Guards against two operators who both believe that their configuration is version
-	 * 2.
+	 * Guards against reporting success to two operators who both commit version 2.
 	 */
 	@Test
 	void oneOfTwoRacingOperatorsGetsAConflict() throws Exception {
@@ -124,8 +123,8 @@
 	}
 
 	/**
-	 * Guards against taking the winner's version for the own one when the reply is lost:
-	 * the head has the expected number in both cases.
+	 * Guards against mistaking the version of a concurrent commit for the own one when
+	 * the reply is lost: the head has the expected number in both cases.
 	 */
 	@Test
 	void theLoserOfARaceIsNotCommittedAfterALostReply() throws Exception {
@@ -138,7 +137,7 @@
 	}
 
 	/**
-	 * Guards against a commit on an old version that a lagging replica still shows.
+	 * Guards against a commit on an old version that a lagging replica still returns.
 	 */
 	@Test
 	void anOldHeadRowLeadsToAConflict() throws Exception {
@@ -162,7 +161,7 @@
 	}
 
 	/**
-	 * Store that runs an action before the first transaction, and can show old rows.
+	 * Store that runs an action before the first transaction, and can return old rows.
 	 */
 	private static final class Intercepted implements TableStore {
 
--- a/core/src/test/java/org/banyanstile/core/rollout/RolloutRandomTests.java
+++ b/core/src/test/java/org/banyanstile/core/rollout/RolloutRandomTests.java
@@ -44,14 +44,14 @@
 	}
 
 	/**
-	 * Action at a time.
+	 * Scheduled action.
 	 */
 	private record Event(long at, Runnable action) {
 
 	}
 
 	/**
-	 * One process.
+	 * A VM and the state of its current process.
 	 */
 	private static final class Vm {
 
@@ -92,9 +92,9 @@
 
 		private final List<Long> commits = new ArrayList<>(List.of(0L));
 
-		private final Map<VmId, Long> heard = new HashMap<>();
+		private final Map<VmId, Long> reported = new HashMap<>();
 
-		private final Map<VmId, Long> heardAt = new HashMap<>();
+		private final Map<VmId, Long> reportedAt = new HashMap<>();
 
 		private Set<VmId> scanned = new HashSet<>();
 
@@ -175,7 +175,7 @@
 			vm.tracker.committed(vm.holder.version(), this.now);
 		}
 
-		private void disturb() {
+		private void injectFault() {
 			Vm vm = this.vms.get(this.random.nextInt(VMS));
 			int kind = this.random.nextInt(4);
 			long until = this.now + upTo(12_000) * MILLI;
@@ -191,7 +191,7 @@
 			else {
 				commit();
 			}
-			in(upTo(2500), this::disturb);
+			in(upTo(2500), this::injectFault);
 		}
 
 		private void commit() {
@@ -219,11 +219,11 @@
 		private void observe() {
 			for (Vm vm : this.vms) {
 				if (vm.frozenUntil <= this.now && vm.isolatedUntil <= this.now) {
-					this.heard.put(vm.id, vm.holder.version());
-					this.heardAt.put(vm.id, this.now);
+					this.reported.put(vm.id, vm.holder.version());
+					this.reportedAt.put(vm.id, this.now);
 				}
-				else if (this.now - this.heardAt.getOrDefault(vm.id, 0L) > 2000 * MILLI) {
-					this.heard.remove(vm.id);
+				else if (this.now - this.reportedAt.getOrDefault(vm.id, 0L) > 2000 * MILLI) {
+					this.reported.remove(vm.id);
 				}
 			}
 			this.vms.stream().filter((vm) -> vm.frozenUntil <= this.now).forEach(this::evaluate);
@@ -231,7 +231,7 @@
 		}
 
 		private void evaluate(Vm vm) {
-			RolloutProgress progress = vm.tracker.evaluate(this.scanned, this.scannedAt, this.heard, this.now);
+			RolloutProgress progress = vm.tracker.evaluate(this.scanned, this.scannedAt, this.reported, this.now);
 			if (progress.accepted() && progress.version() > vm.acceptedVersion) {
 				vm.acceptedVersion = progress.version();
 				this.acceptances++;
@@ -252,7 +252,7 @@
 		private void run() {
 			in(0, this::scan);
 			in(0, this::observe);
-			in(5000, this::disturb);
+			in(5000, this::injectFault);
 			while (this.now < 120_000 * MILLI && this.violation.isEmpty()) {
 				Event event = this.events.remove();
 				this.now = event.at;
--- a/core/src/test/java/org/banyanstile/core/rollout/RolloutTests.java
+++ b/core/src/test/java/org/banyanstile/core/rollout/RolloutTests.java
@@ -84,7 +84,8 @@
 	}
 
 	/**
-	 * Guards against old rows of a lagging replica after a peer reported a later version.
+	 * Guards against confirming an old row of a lagging replica after a peer reported a
+	 * later version.
 	 */
 	@Test
 	void anOldRowBelowAPeersVersionIsRejected() {
@@ -96,8 +97,8 @@
 	}
 
 	/**
-	 * Guards against a starting VM that read the head before it was registered: no
-	 * acceptance of a later version waits for it.
+	 * Guards against a starting VM that serves after a read of the head before it was
+	 * registered: later versions can be accepted without it.
 	 */
 	@Test
 	void aReadBeforeRegistrationConfirmsNothing() {
@@ -136,7 +137,8 @@
 	}
 
 	/**
-	 * Withdrawal while one VM is frozen: accepted after 5 s, by when the VM has stopped.
+	 * A key is withdrawn while one VM is frozen: the version is accepted after 5 s, when
+	 * that VM has stopped serving.
 	 */
 	@Test
 	void acceptedByMajorityOnlyAfterTheOthersHaveStopped() {
