--- a/core/src/main/java/org/banyanstile/core/membership/Heartbeat.java
+++ b/core/src/main/java/org/banyanstile/core/membership/Heartbeat.java
@@ -3,7 +3,8 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * State of a VM that it sends to each other VM once a second.
+ * State of a VM that it sends to each other VM once a second, and more often while the
+ * store does not respond.
  *
  * @param vm the sender
  * @param slot slot that the sender holds, or {@link #NO_SLOT}
@@ -11,8 +12,8 @@
  * @param configVersion configuration version in force at the sender
  * @param storeAgeMillis time since the sender last reached the store
  * @param state state of the sender
- * @param floorsSuspended whether the sender leaves its rate floors unused for the
- * partitions of the receiver
+ * @param floorsSuspended whether the sender leaves its floors (its guaranteed minimum
+ * shares of team limits) unused for the partitions of the receiver
  * @param sequence number of this round of heartbeats at the sender
  * @param echo latest sequence that the sender received from the receiver, which bounds
  * the age of this heartbeat on the receiver's clock; 0 if there is none
--- a/core/src/main/java/org/banyanstile/core/membership/PeerReport.java
+++ b/core/src/main/java/org/banyanstile/core/membership/PeerReport.java
@@ -16,14 +16,15 @@
 	 * @return whether it is
 	 */
 	public boolean isRecent(long now) {
-		return now - this.receivedAt <= PeerTable.RECEIPT_NANOS && now - this.notBefore <= PeerTable.ECHO_NANOS;
+		return now - this.receivedAt <= PeerTable.MAX_RECEIPT_AGE_NANOS
+				&& now - this.notBefore <= PeerTable.MAX_ECHO_AGE_NANOS;
 	}
 
 	/**
-	 * Returns whether the promise in the heartbeat to leave rate floors unused is in
-	 * force. It is measured from a time before the heartbeat was sent.
+	 * Returns whether the promise in the heartbeat to leave floors unused is still valid.
+	 * Its validity is measured from a time before the heartbeat was sent.
 	 * @param now the current time
-	 * @param validNanos length of the promise
+	 * @param validNanos time for which the promise is valid
 	 * @return whether it is
 	 */
 	public boolean isFloorSuspended(long now, long validNanos) {
--- a/core/src/main/java/org/banyanstile/core/membership/PeerTable.java
+++ b/core/src/main/java/org/banyanstile/core/membership/PeerTable.java
@@ -12,35 +12,38 @@
  * <p>
  * A VM that resumes after a pause finds old heartbeats in its socket buffers, so the time
  * of receipt alone does not show that a heartbeat is recent. Each heartbeat therefore
- * echoes a sequence number of the receiver, and counts as sent no later than that.
+ * echoes the latest sequence number from the receiver, and its age is measured from when
+ * the receiver sent that number.
  *
  * @author banyanstile contributors
  */
 public final class PeerTable {
 
 	/**
-	 * Longest time since receipt for which a heartbeat is evidence.
+	 * Time since receipt after which a heartbeat is no longer evidence.
 	 */
-	public static final long RECEIPT_NANOS = 2_000_000_000L;
+	public static final long MAX_RECEIPT_AGE_NANOS = 2_000_000_000L;
 
 	/**
-	 * Longest time since the echoed round was sent. Two heartbeat periods pass in normal
-	 * operation before a newer echo arrives; half a second is margin for jitter.
+	 * Time since the echoed round was sent after which a heartbeat is no longer evidence.
+	 * Two heartbeat periods pass in normal operation before a newer echo arrives; half a
+	 * second is margin for jitter.
 	 */
-	public static final long ECHO_NANOS = 2_500_000_000L;
+	public static final long MAX_ECHO_AGE_NANOS = 2_500_000_000L;
 
-	private static final int REMEMBERED_ROUNDS = 16;
+	private static final int RETAINED_ROUNDS = 16;
 
 	/**
-	 * Time after which a silent VM is forgotten, since VMs are replaced under new names.
+	 * Time without a heartbeat after which a VM is removed, since VMs are replaced under
+	 * new names.
 	 */
-	private static final long FORGET_NANOS = 60_000_000_000L;
+	private static final long RETENTION_NANOS = 60_000_000_000L;
 
 	private final Map<VmId, PeerReport> reports = new LinkedHashMap<>();
 
 	private final Map<VmId, Received> sequences = new LinkedHashMap<>();
 
-	private final long[] sentAt = new long[REMEMBERED_ROUNDS];
+	private final long[] sentAt = new long[RETAINED_ROUNDS];
 
 	private final long first;
 
@@ -54,7 +57,7 @@
 	/**
 	 * Creates an empty table.
 	 * @param firstSequence first sequence number, random so that echoes of an earlier
-	 * process of this VM are not taken for new ones
+	 * process of this VM are not mistaken for new ones
 	 * @return the table
 	 */
 	public static PeerTable create(long firstSequence) {
@@ -63,13 +66,13 @@
 
 	/**
 	 * Begins a round of heartbeats.
-	 * @param now the time before the heartbeats are sent
+	 * @param now time before the heartbeats are sent
 	 * @return sequence number of the round
 	 */
 	public long beginRound(long now) {
-		this.sentAt[(int) (this.next % REMEMBERED_ROUNDS)] = now;
-		this.reports.values().removeIf((report) -> now - report.receivedAt() > FORGET_NANOS);
-		this.sequences.values().removeIf((received) -> now - received.at() > FORGET_NANOS);
+		this.sentAt[(int) (this.next % RETAINED_ROUNDS)] = now;
+		this.reports.values().removeIf((report) -> now - report.receivedAt() > RETENTION_NANOS);
+		this.sequences.values().removeIf((received) -> now - received.at() > RETENTION_NANOS);
 		return this.next++;
 	}
 
@@ -91,10 +94,10 @@
 	public void receive(Heartbeat heartbeat, long now) {
 		this.sequences.put(heartbeat.vm(), new Received(heartbeat.sequence(), now));
 		long echo = heartbeat.echo();
-		if (echo < this.first || echo >= this.next || echo < this.next - REMEMBERED_ROUNDS) {
+		if (echo < this.first || echo >= this.next || echo < this.next - RETAINED_ROUNDS) {
 			return;
 		}
-		long notBefore = this.sentAt[(int) (echo % REMEMBERED_ROUNDS)];
+		long notBefore = this.sentAt[(int) (echo % RETAINED_ROUNDS)];
 		PeerReport current = this.reports.get(heartbeat.vm());
 		if (current == null || notBefore - current.notBefore() >= 0) {
 			this.reports.put(heartbeat.vm(), new PeerReport(heartbeat, now, notBefore));
--- a/core/src/main/java/org/banyanstile/core/membership/RegisteredVms.java
+++ b/core/src/main/java/org/banyanstile/core/membership/RegisteredVms.java
@@ -10,16 +10,17 @@
 
 /**
  * VMs that count for majorities and for shares of limits: those named in rows of the
- * store, without those that the platform's VM list, or whoever hears from VMs, has lacked
- * for 60 s. Not safe for use by several threads.
+ * store, without those that have been missing for 60 s from the list of live VMs (the
+ * platform's VM list, or the VMs from which messages arrive). Not safe for use by several
+ * threads.
  *
  * @author banyanstile contributors
  */
 public final class RegisteredVms {
 
 	/**
-	 * Time for which a VM must be missing. The list lags, so a shorter time would drop
-	 * VMs that have just started.
+	 * Time for which a VM must be missing before it no longer counts. The list lags, so a
+	 * shorter time would drop VMs that have just started.
 	 */
 	public static final long MISSING_NANOS = 60_000_000_000L;
 
@@ -29,7 +30,7 @@
 
 	private boolean known;
 
-	private long lastList;
+	private long lastListAt;
 
 	/**
 	 * Replaces the VMs named in slot rows.
@@ -56,7 +57,7 @@
 				this.missingSince.putIfAbsent(vm, now);
 			}
 		}
-		this.lastList = now;
+		this.lastListAt = now;
 	}
 
 	/**
@@ -64,23 +65,24 @@
 	 * @return the VMs
 	 */
 	public Set<VmId> all() {
-		Set<VmId> counted = new LinkedHashSet<>(this.named);
-		counted.removeIf(this::isMissing);
-		return counted;
+		Set<VmId> registered = new LinkedHashSet<>(this.named);
+		registered.removeIf(this::isMissing);
+		return registered;
 	}
 
 	/**
-	 * Returns the VMs that are named in rows but do not count any more.
+	 * Returns the VMs that are named in rows but no longer count.
 	 * @return the VMs
 	 */
 	public Set<VmId> missing() {
-		Set<VmId> gone = new LinkedHashSet<>(this.named);
-		gone.removeIf((vm) -> !isMissing(vm));
-		return gone;
+		Set<VmId> missing = new LinkedHashSet<>(this.named);
+		missing.removeIf((vm) -> !isMissing(vm));
+		return missing;
 	}
 
 	/**
-	 * Returns whether the slot rows were ever read, or learned from a peer.
+	 * Returns whether the slot rows were ever read from the store or received from a
+	 * peer.
 	 * @return whether the set is known
 	 */
 	public boolean isKnown() {
@@ -89,7 +91,7 @@
 
 	private boolean isMissing(VmId vm) {
 		Long since = this.missingSince.get(vm);
-		return since != null && this.lastList - since >= MISSING_NANOS;
+		return since != null && this.lastListAt - since >= MISSING_NANOS;
 	}
 
 }
--- a/core/src/main/java/org/banyanstile/core/membership/ServingGate.java
+++ b/core/src/main/java/org/banyanstile/core/membership/ServingGate.java
@@ -6,9 +6,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides whether this VM may serve: it reached the store in the last 4 s, or more than
- * half of the registered VMs report that they cannot reach it either. Not safe for use by
- * several threads.
+ * Decides whether this VM may serve: it reached the store in the last 4 s, or the outage
+ * rule holds, which means that more than half of the registered VMs report that they
+ * cannot reach the store either. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -22,18 +22,18 @@
 	/**
 	 * Age of the last store contact from which a VM counts as cut off from the store. The
 	 * contacts of two VMs differ by up to a poll period of 1 s when an outage begins, and
-	 * heartbeats take time. With 2 s a gate could close for a moment before the reports
-	 * behind the outage rule arrive.
+	 * heartbeats take time. With 2 s a VM could stop serving briefly before the reports
+	 * that satisfy the outage rule arrive.
 	 */
 	public static final long CUT_OFF_MILLIS = 1500;
 
 	private static final long HEARTBEAT_NANOS = 1_000_000_000L;
 
 	/**
-	 * Age of the store contact that a healthy store with a poll each second hardly
-	 * reaches.
+	 * Age of the last store contact that is rarely reached with a healthy store and a
+	 * poll each second.
 	 */
-	private static final long STORE_SUSPECT_MILLIS = 1250;
+	private static final long SUSPECT_STORE_MILLIS = 1250;
 
 	private static final long NEVER_MILLIS = 3_600_000L;
 
@@ -43,7 +43,7 @@
 
 	private final RegisteredVms registered;
 
-	private long contact;
+	private long lastContact;
 
 	private boolean contacted;
 
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Creates a gate that is closed until the first contact.
+	 * Creates a gate that does not permit serving before the first store contact.
 	 * @param self this VM
 	 * @param peers heartbeats of the other VMs
 	 * @param registered the registered VMs
@@ -71,8 +71,8 @@
 	 * @param sentAt time before the call was sent
 	 */
 	public void contacted(long sentAt) {
-		if (!this.contacted || sentAt - this.contact > 0) {
-			this.contact = sentAt;
+		if (!this.contacted || sentAt - this.lastContact > 0) {
+			this.lastContact = sentAt;
 			this.contacted = true;
 		}
 	}
@@ -99,18 +99,18 @@
 	 * @return the time in milliseconds, an hour if there was none
 	 */
 	public long storeAgeMillis(long now) {
-		return this.contacted ? Math.max(0, (now - this.contact) / 1_000_000) : NEVER_MILLIS;
+		return this.contacted ? Math.max(0, (now - this.lastContact) / 1_000_000) : NEVER_MILLIS;
 	}
 
 	/**
 	 * Returns the time from one round of heartbeats to the next. Rounds are more frequent
-	 * once the store does not answer, so that the reports behind the outage rule arrive
-	 * before the last store contact is too old, also when heartbeats are delayed.
+	 * once the store does not respond, so that the reports that satisfy the outage rule
+	 * arrive before the last store contact is too old, even when heartbeats are delayed.
 	 * @param now the current time
 	 * @return the period
 	 */
 	public long heartbeatPeriodNanos(long now) {
-		return (storeAgeMillis(now) < STORE_SUSPECT_MILLIS) ? HEARTBEAT_NANOS : HEARTBEAT_NANOS / 4;
+		return (storeAgeMillis(now) < SUSPECT_STORE_MILLIS) ? HEARTBEAT_NANOS : HEARTBEAT_NANOS / 4;
 	}
 
 	/**
@@ -119,7 +119,7 @@
 	 * @return whether it may
 	 */
 	public boolean serving(long now) {
-		return (this.contacted && now - this.contact < CONTACT_NANOS) || outage(now);
+		return (this.contacted && now - this.lastContact < CONTACT_NANOS) || outage(now);
 	}
 
 	/**
--- a/core/src/main/java/org/banyanstile/core/membership/StoreQuorum.java
+++ b/core/src/main/java/org/banyanstile/core/membership/StoreQuorum.java
@@ -11,31 +11,31 @@
 
 	/**
 	 * Time for which the majority must persist. An owner may rely on the outage rule for
-	 * 2.5 s after the last report behind it was sent and for 1 s until it has renewed, so
-	 * the 3 s of a design without paused receivers are too short.
+	 * 2.5 s after the last report that satisfies it was sent, and for 1 s until it has
+	 * renewed. The 3 s that would do without paused receivers are therefore too short.
 	 */
 	public static final long PERSIST_NANOS = 4_000_000_000L;
 
 	/**
-	 * Longest time between two updates. After a longer one this VM was paused and has not
-	 * seen an interruption of the majority.
+	 * Longest time between two updates. After a longer one this VM was paused and may
+	 * have missed an interruption of the majority.
 	 */
-	private static final long GAP_NANOS = 1_500_000_000L;
+	private static final long MAX_UPDATE_GAP_NANOS = 1_500_000_000L;
 
 	private final ServingGate gate;
 
 	private boolean reached;
 
-	private long since;
+	private long reachedSince;
 
-	private long updated;
+	private long updatedAt;
 
 	private StoreQuorum(ServingGate gate) {
 		this.gate = gate;
 	}
 
 	/**
-	 * Creates the tracker.
+	 * Creates a quorum that is not reached yet.
 	 * @param gate source of the reports
 	 * @return the tracker
 	 */
@@ -48,11 +48,11 @@
 	 * @param now the current time
 	 */
 	public void update(long now) {
-		boolean wasReached = this.reached && now - this.updated <= GAP_NANOS;
+		boolean wasReached = this.reached && now - this.updatedAt <= MAX_UPDATE_GAP_NANOS;
 		this.reached = this.gate.storeReachedByMajority(now);
-		this.updated = now;
+		this.updatedAt = now;
 		if (this.reached && !wasReached) {
-			this.since = now;
+			this.reachedSince = now;
 		}
 	}
 
@@ -63,7 +63,7 @@
 	 */
 	public boolean permitsTakeover(long now) {
 		update(now);
-		return this.reached && now - this.since >= PERSIST_NANOS;
+		return this.reached && now - this.reachedSince >= PERSIST_NANOS;
 	}
 
 }
--- a/core/src/main/java/org/banyanstile/core/membership/VmState.java
+++ b/core/src/main/java/org/banyanstile/core/membership/VmState.java
@@ -13,7 +13,7 @@
 	LIVE,
 
 	/**
-	 * The VM shuts down gracefully and accepts no ownership.
+	 * The VM is shutting down and acquires no partitions.
 	 */
 	LEAVING,
 
--- a/core/src/test/java/org/banyanstile/core/membership/PeerTableTests.java
+++ b/core/src/test/java/org/banyanstile/core/membership/PeerTableTests.java
@@ -51,7 +51,7 @@
 		assertThat(this.peers.recent(0), empty());
 		assertThat(this.peers.echoFor(B), is(7L));
 		this.peers.beginRound(61 * SECOND);
-		assertThat("a silent VM is forgotten", this.peers.echoFor(B), is(0L));
+		assertThat("a VM without heartbeats is removed", this.peers.echoFor(B), is(0L));
 	}
 
 	@Test
