--- a/core/src/main/java/org/banyanstile/core/claim/ClaimHolder.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimHolder.java
@@ -4,7 +4,7 @@
 import org.banyanstile.core.lease.SlotRecord;
 
 /**
- * VM that holds a claim, as long as the epoch of its slot lasts.
+ * VM that holds a claim until the epoch of its slot ends.
  *
  * @param vm the VM
  * @param slot slot of the VM
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimOutcome.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimOutcome.java
@@ -3,17 +3,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Outcome of a once-only call.
+ * Outcome of a call that must run at most once.
  *
  * @author banyanstile contributors
  */
 public sealed interface ClaimOutcome {
 
 	/**
-	 * The endpoint ran the call and answered.
+	 * The endpoint ran the call and responded.
 	 *
 	 * @param status status code
-	 * @param contentType media type, or {@code null} if the endpoint gave none
+	 * @param contentType media type, or {@code null} if the endpoint sent none
 	 * @param body the body as text
 	 */
 	record Answered(int status, @Nullable String contentType, String body) implements ClaimOutcome {
@@ -21,10 +21,10 @@
 	}
 
 	/**
-	 * The endpoint refused the call.
+	 * The endpoint rejected the call.
 	 *
 	 * @param status status code
-	 * @param contentType media type, or {@code null} if the endpoint gave none
+	 * @param contentType media type, or {@code null} if the endpoint sent none
 	 * @param body the body as text
 	 */
 	record RefusedByEndpoint(int status, @Nullable String contentType, String body) implements ClaimOutcome {
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimRecord.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimRecord.java
@@ -16,11 +16,11 @@
  * @param state state of the claim
  * @param holder VM that claimed the call last
  * @param attempt number of the attempt, from 1
- * @param claimId identifier of the claiming write, retained by the later ones
+ * @param claimId identifier of the write that claimed the call; later writes keep it
  * @param bodyHash hash of method, path and body
- * @param status status code of the answer, 0 if there is none
- * @param contentType media type of the answer, or {@code null}
- * @param body body of the answer, empty if there is none
+ * @param status status code of the response, 0 if there is none
+ * @param contentType media type of the response, or {@code null}
+ * @param body body of the response, empty if there is none
  * @author banyanstile contributors
  */
 public record ClaimRecord(ClaimState state, ClaimHolder holder, long attempt, String claimId, String bodyHash,
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimResult.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimResult.java
@@ -17,8 +17,8 @@
 	}
 
 	/**
-	 * The store was not asked, or did not answer. This attempt has not run and will not;
-	 * nothing is known of earlier attempts.
+	 * No store call was made, or it failed without effect. This attempt has not run and
+	 * will not; nothing is known about earlier attempts.
 	 */
 	record Unclaimed() implements ClaimResult {
 
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * A VM that may be alive runs the call, and can be asked for the outcome.
+	 * A VM that may be alive runs the call, and can be queried for the outcome.
 	 *
 	 * @param holder the VM, which can be this one
 	 */
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimState.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimState.java
@@ -13,12 +13,12 @@
 	CLAIMED,
 
 	/**
-	 * The endpoint answered.
+	 * The endpoint responded.
 	 */
 	ANSWERED,
 
 	/**
-	 * The endpoint refused the call.
+	 * The endpoint rejected the call.
 	 */
 	REFUSED,
 
--- a/core/src/main/java/org/banyanstile/core/claim/EpochView.java
+++ b/core/src/main/java/org/banyanstile/core/claim/EpochView.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.claim;
 
 /**
- * Knowledge about the slot epochs of the fleet.
+ * Shows which slot epochs of the fleet have ended.
  *
  * @author banyanstile contributors
  */
@@ -9,7 +9,7 @@
 public interface EpochView {
 
 	/**
-	 * Returns whether an epoch has ended for certain. Must not block.
+	 * Returns whether an epoch has certainly ended. Must not block.
 	 * @param holder the VM with its slot and epoch
 	 * @return whether it has ended
 	 */
--- a/core/src/main/java/org/banyanstile/core/claim/LocalClaims.java
+++ b/core/src/main/java/org/banyanstile/core/claim/LocalClaims.java
@@ -15,10 +15,10 @@
 final class LocalClaims {
 
 	/**
-	 * Largest number of claims. The outcomes of a long store outage are bounded by it,
-	 * since no claim is made without the store.
+	 * Largest number of claims. It also bounds the outcomes that accumulate in a long
+	 * store outage, since no claim is made without the store.
 	 */
-	private static final int MAX = 10_000;
+	private static final int MAX_CLAIMS = 10_000;
 
 	private final Map<ClaimIdentity, Entry> entries = new LinkedHashMap<>();
 
@@ -31,7 +31,7 @@
 	 */
 	synchronized @Nullable Entry begin(ClaimIdentity identity, String bodyHash) throws TooManyClaimsException {
 		Entry entry = this.entries.get(identity);
-		if (entry == null && this.entries.size() >= MAX) {
+		if (entry == null && this.entries.size() >= MAX_CLAIMS) {
 			throw new TooManyClaimsException();
 		}
 		if (entry == null) {
--- a/core/src/main/java/org/banyanstile/core/claim/OnceOnlyClaims.java
+++ b/core/src/main/java/org/banyanstile/core/claim/OnceOnlyClaims.java
@@ -15,18 +15,18 @@
 
 /**
  * Claims of one VM. A call is dispatched only by the VM that holds its claim, and a claim
- * is never granted a second time unless no attempt has run. Calls block on the store.
- * Safe for use by several threads.
+ * is never granted a second time unless no attempt has run. The methods block while the
+ * store does. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class OnceOnlyClaims {
 
 	/**
-	 * Attempts before a contended claim is answered with outcome unknown. Each attempt
-	 * fails only because another VM changed the row in between.
+	 * Conflicting writes after which the outcome of a claim is reported as unknown. A
+	 * write conflicts only if another VM changed the row in between.
 	 */
-	private static final int MAX_ROUNDS = 4;
+	private static final int MAX_CONFLICTS = 4;
 
 	private final TableStore store;
 
@@ -49,7 +49,7 @@
 	 * Creates the claims of a VM.
 	 * @param store the table service
 	 * @param codec codec of the rows
-	 * @param epochs knowledge about slot epochs
+	 * @param epochs shows which slot epochs have ended
 	 * @param ids identifiers of writes
 	 * @return the claims
 	 */
@@ -58,7 +58,8 @@
 	}
 
 	/**
-	 * Claims a call. {@code NotRun} means that no attempt seen so far has run or will.
+	 * Claims a call. The outcome {@code NotRun} means that no attempt known so far has
+	 * run or will run.
 	 * @param identity identity of the call
 	 * @param bodyHash hash of method, path and body
 	 * @param holder slot that this VM holds
@@ -73,11 +74,11 @@
 			return new ClaimResult.Unclaimed();
 		}
 		if (known != null) {
-			return repeated(known, bodyHash, holder);
+			return resultForRepeatedRequest(known, bodyHash, holder);
 		}
 		ClaimResult result = new ClaimResult.Settled(new ClaimOutcome.OutcomeUnknown());
 		try {
-			result = contend(identity, bodyHash, holder);
+			result = writeClaim(identity, bodyHash, holder);
 		}
 		finally {
 			if (!(result instanceof ClaimResult.Granted)) {
@@ -88,7 +89,7 @@
 	}
 
 	/**
-	 * Returns whether this VM runs a call, or holds its outcome.
+	 * Returns whether this VM is claiming or running a call, or retains its outcome.
 	 * @param identity identity of the call
 	 * @return whether {@link #claim} needs no store
 	 */
@@ -97,8 +98,8 @@
 	}
 
 	/**
-	 * Returns whether a call may have run or may be running, for a refusal without a
-	 * claim.
+	 * Returns whether an earlier attempt of a call may have run or may be running. Used
+	 * when a call is rejected without a claim.
 	 * @param identity identity of the call
 	 * @return {@code false} only if the store shows no claim, or a void one
 	 */
@@ -115,7 +116,7 @@
 		}
 	}
 
-	private static ClaimResult repeated(LocalClaims.Entry known, String bodyHash, ClaimHolder holder) {
+	private static ClaimResult resultForRepeatedRequest(LocalClaims.Entry known, String bodyHash, ClaimHolder holder) {
 		if (!known.bodyHash().equals(bodyHash)) {
 			return new ClaimResult.KeyReused();
 		}
@@ -123,10 +124,10 @@
 		return (outcome != null) ? new ClaimResult.Settled(outcome) : new ClaimResult.Running(holder);
 	}
 
-	private ClaimResult contend(ClaimIdentity identity, String bodyHash, ClaimHolder holder) {
+	private ClaimResult writeClaim(ClaimIdentity identity, String bodyHash, ClaimHolder holder) {
 		String key = identity.rowKey();
 		Row current = null;
-		for (int round = 0; round < MAX_ROUNDS; round++) {
+		for (int conflicts = 0; conflicts < MAX_CONFLICTS; conflicts++) {
 			ClaimRecord existing = (current != null) ? ClaimRecord.decode(current, this.codec) : null;
 			if (current != null && existing != null && existing.state() != ClaimState.VOID) {
 				return existing(current, existing, bodyHash, holder);
@@ -199,7 +200,7 @@
 			return new ClaimResult.Settled(new ClaimOutcome.NotRun());
 		}
 		if (existing.holder().equals(self)) {
-			return abandoned(row, existing);
+			return voidAbandoned(row, existing);
 		}
 		if (!this.epochs.hasEnded(existing.holder())) {
 			return new ClaimResult.Running(existing.holder());
@@ -208,13 +209,13 @@
 	}
 
 	/**
-	 * Settles a claim in the name of this VM that it does not run: the claiming write
-	 * took effect after this VM had answered the caller.
+	 * Voids a claim that names this VM as its holder although this VM does not run the
+	 * call: the claiming write took effect after this VM had responded to the caller.
 	 * @param row the row
 	 * @param existing content of the row
 	 * @return the result
 	 */
-	private ClaimResult abandoned(Row row, ClaimRecord existing) {
+	private ClaimResult voidAbandoned(Row row, ClaimRecord existing) {
 		return close(row, existing.with(ClaimState.VOID));
 	}
 
@@ -247,8 +248,8 @@
 	}
 
 	/**
-	 * Writes the outcomes that could not be stored. Call each second or so.
-	 * @return number of outcomes that remain
+	 * Writes the outcomes that could not be stored. Call about once a second.
+	 * @return number of outcomes that are still not stored
 	 */
 	public int writeRetained() {
 		for (LocalClaims.Entry entry : this.local.retained()) {
@@ -266,7 +267,7 @@
 		try {
 			Row row = readFirst ? find(this.store.read(List.of(key)), key) : null;
 			if (!readFirst || (row != null && row.version() == claim.version())) {
-				// A conflict means that the claim was closed as UNKNOWN, which stays.
+				// A conflict means that the claim was closed as UNKNOWN, which is final.
 				put(new Condition(key, claim.version()), claim.record().with(outcome));
 			}
 			this.local.remove(claim.identity());
@@ -278,7 +279,7 @@
 	}
 
 	/**
-	 * Answers the query of another VM about a claim in the name of this VM.
+	 * Responds to a query of another VM about a claim that names this VM as its holder.
 	 * @param identity identity of the call
 	 * @param holder slot that this VM holds
 	 * @return the outcome, or {@code null} while the call runs
@@ -293,17 +294,17 @@
 			if (row == null) {
 				return new ClaimOutcome.NotRun();
 			}
-			LocalClaims.Entry begun = this.local.get(identity);
-			if (begun != null) {
-				// The claim in the row may be one that another thread made in between.
-				return begun.outcome();
+			LocalClaims.Entry started = this.local.get(identity);
+			if (started != null) {
+				// The row may be a claim that another thread made in between.
+				return started.outcome();
 			}
 			ClaimRecord current = ClaimRecord.decode(row, this.codec);
 			ClaimOutcome outcome = current.outcome();
 			if (outcome != null || !current.holder().equals(holder) || current.state() != ClaimState.CLAIMED) {
 				return outcome;
 			}
-			return (abandoned(row, current) instanceof ClaimResult.Settled settled) ? settled.outcome() : null;
+			return (voidAbandoned(row, current) instanceof ClaimResult.Settled settled) ? settled.outcome() : null;
 		}
 		catch (StoreException ex) {
 			return null;
@@ -317,7 +318,7 @@
 	private static long version(TransactionResult.Committed committed, String key) {
 		Long version = committed.versions().get(key);
 		if (version == null) {
-			throw new IllegalStateException("the store returned no version of " + key);
+			throw new IllegalStateException("the store returned no version for row " + key);
 		}
 		return version;
 	}
--- a/core/src/test/java/org/banyanstile/core/claim/OnceOnlyClaimsTests.java
+++ b/core/src/test/java/org/banyanstile/core/claim/OnceOnlyClaimsTests.java
@@ -35,16 +35,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests for {@link OnceOnlyClaims}. Guards against a call that runs twice and against an
- * answer that is not that of the run.
+ * Tests for {@link OnceOnlyClaims}. Guards against a call that runs twice and against a
+ * response that is not that of the run.
  *
  * @author banyanstile contributors
  */
 class OnceOnlyClaimsTests {
 
-	private static final ClaimIdentity ORDER = new ClaimIdentity(TeamId.of("team"), "k1");
+	private static final ClaimIdentity IDENTITY = new ClaimIdentity(TeamId.of("team"), "k1");
 
-	private static final ClaimOutcome ANSWER = new ClaimOutcome.Answered(201, "text/plain", "ordered");
+	private static final ClaimOutcome RESPONSE = new ClaimOutcome.Answered(201, "text/plain", "ordered");
 
 	private static final ClaimOutcome UNKNOWN = new ClaimOutcome.OutcomeUnknown();
 
@@ -68,9 +68,9 @@
 
 	@Test
 	void answerIsRepeatedOnAnyVmAndAnotherBodyIsRefused() {
-		this.first.claims.complete(this.first.granted("b"), ANSWER);
-		assertThat(this.first.claim("b"), equalTo(settled(ANSWER)));
-		assertThat(this.second.claim("b"), equalTo(settled(ANSWER)));
+		this.first.claims.complete(this.first.granted("b"), RESPONSE);
+		assertThat(this.first.claim("b"), equalTo(settled(RESPONSE)));
+		assertThat(this.second.claim("b"), equalTo(settled(RESPONSE)));
 		assertThat(this.second.claim("other"), instanceOf(ClaimResult.KeyReused.class));
 		assertThat(this.first.claim("other"), instanceOf(ClaimResult.KeyReused.class));
 	}
@@ -81,11 +81,11 @@
 		assertThat(this.first.claim("b"), equalTo(new ClaimResult.Running(this.first.holder)));
 		assertThat(this.first.claim("other"), instanceOf(ClaimResult.KeyReused.class));
 		assertThat(this.second.claim("b"), equalTo(new ClaimResult.Running(this.first.holder)));
-		assertThat(this.first.claims.query(ORDER, this.first.holder), nullValue());
+		assertThat(this.first.claims.query(IDENTITY, this.first.holder), nullValue());
 		this.ended.add(this.first.holder);
 		assertThat(this.second.claim("b"), equalTo(settled(UNKNOWN)));
-		this.first.claims.complete(claim, ANSWER);
-		assertThat("a late reply of the first does not change what was answered", this.second.claim("b"),
+		this.first.claims.complete(claim, RESPONSE);
+		assertThat("a late completion by the first VM does not change the reported outcome", this.second.claim("b"),
 				equalTo(settled(UNKNOWN)));
 		assertThat(this.first.claims.writeRetained(), is(0));
 	}
@@ -110,7 +110,7 @@
 		this.store.failNext(Fault.LOST_REPLY, Fault.UNAVAILABLE);
 		assertThat(this.first.claim("b"), equalTo(settled(UNKNOWN)));
 		assertThat(this.second.claim("b"), equalTo(new ClaimResult.Running(this.first.holder)));
-		assertThat(this.first.claims.query(ORDER, this.first.holder), equalTo(NOT_RUN));
+		assertThat(this.first.claims.query(IDENTITY, this.first.holder), equalTo(NOT_RUN));
 		this.second.granted("b");
 	}
 
@@ -120,20 +120,20 @@
 		assertThat(this.first.claim("b"), equalTo(new ClaimResult.Unclaimed()));
 		assertThat(this.store.withPrefix("claim/").size(), is(0));
 		HeldClaim claim = this.second.granted("b");
-		this.second.claims.complete(claim, ANSWER);
+		this.second.claims.complete(claim, RESPONSE);
 		this.store.failNext(Fault.UNAVAILABLE);
-		assertThat("a repeat of an answered call", this.first.claim("b"), equalTo(new ClaimResult.Unclaimed()));
+		assertThat("a repeated request after a response", this.first.claim("b"), equalTo(new ClaimResult.Unclaimed()));
 	}
 
 	@Test
 	void refusalWithoutAClaimKnowsWhetherAnEarlierAttemptMayHaveRun() {
-		assertThat(this.first.claims.mayHaveRun(ORDER), is(false));
+		assertThat(this.first.claims.mayHaveRun(IDENTITY), is(false));
 		HeldClaim claim = this.second.granted("b");
-		assertThat("running", this.first.claims.mayHaveRun(ORDER), is(true));
+		assertThat("running", this.first.claims.mayHaveRun(IDENTITY), is(true));
 		this.second.claims.complete(claim, NOT_RUN);
-		assertThat("void", this.first.claims.mayHaveRun(ORDER), is(false));
+		assertThat("void", this.first.claims.mayHaveRun(IDENTITY), is(false));
 		this.store.failNext(Fault.UNAVAILABLE);
-		assertThat("store down", this.first.claims.mayHaveRun(ORDER), is(true));
+		assertThat("store down", this.first.claims.mayHaveRun(IDENTITY), is(true));
 	}
 
 	@ParameterizedTest
@@ -141,13 +141,13 @@
 	void outcomeIsRetainedWhileTheStoreIsDown(Fault fault) {
 		HeldClaim claim = this.first.granted("b");
 		this.store.failNext(fault, Fault.UNAVAILABLE);
-		this.first.claims.complete(claim, ANSWER);
+		this.first.claims.complete(claim, RESPONSE);
 		assertThat(this.first.claims.writeRetained(), is(1));
-		assertThat(this.first.claims.query(ORDER, this.first.holder), equalTo(ANSWER));
-		assertThat(this.first.claim("b"), equalTo(settled(ANSWER)));
+		assertThat(this.first.claims.query(IDENTITY, this.first.holder), equalTo(RESPONSE));
+		assertThat(this.first.claim("b"), equalTo(settled(RESPONSE)));
 		assertThat(this.first.claims.writeRetained(), is(0));
 		this.store.applyDelayed();
-		assertThat(this.second.claim("b"), equalTo(settled(ANSWER)));
+		assertThat(this.second.claim("b"), equalTo(settled(RESPONSE)));
 	}
 
 	@Test
@@ -170,7 +170,7 @@
 				try {
 					if (victim.claims.claim(identity, "b", victim.holder) instanceof ClaimResult.Granted granted) {
 						runs++;
-						victim.claims.complete(granted.claim(), ANSWER);
+						victim.claims.complete(granted.claim(), RESPONSE);
 					}
 				}
 				catch (IllegalStateException ex) {
@@ -179,7 +179,7 @@
 				this.ended.add(victim.holder);
 				ClaimResult repeat = this.second.claims.claim(identity, "b", this.second.holder);
 				if (repeat instanceof ClaimResult.Granted) {
-					assertThat("granted again after a run", runs, is(0));
+					assertThat("granted again although the call ran", runs, is(0));
 				}
 				else {
 					assertThat(repeat, not(equalTo(settled(NOT_RUN))));
@@ -234,21 +234,21 @@
 				vm.claims.complete(granted.claim(), NOT_RUN);
 				return;
 			}
-			ClaimOutcome answer = new ClaimOutcome.Answered(200, null, key + " by " + vm.holder);
-			ClaimOutcome other = ran.put(key, answer);
+			ClaimOutcome response = new ClaimOutcome.Answered(200, null, key + " by " + vm.holder);
+			ClaimOutcome other = ran.put(key, response);
 			if (other != null) {
-				throw new AssertionError(key + " ran twice: " + other + " and " + answer);
+				throw new AssertionError(key + " ran twice: " + other + " and " + response);
 			}
-			vm.unfinished.put(granted.claim(), answer);
+			vm.unfinished.put(granted.claim(), response);
 		}
 		else if (result instanceof ClaimResult.Settled settled
 				&& settled.outcome() instanceof ClaimOutcome.Answered answered) {
-			assertThat("answer of the run", answered, equalTo(ran.get(key)));
+			assertThat("response of the run", answered, equalTo(ran.get(key)));
 		}
 	}
 
 	/**
-	 * A process of a VM.
+	 * One process of a VM.
 	 *
 	 * @author banyanstile contributors
 	 */
@@ -268,7 +268,7 @@
 		}
 
 		ClaimResult claim(String body) {
-			return this.claims.claim(ORDER, body, this.holder);
+			return this.claims.claim(IDENTITY, body, this.holder);
 		}
 
 		HeldClaim granted(String body) {
@@ -285,7 +285,7 @@
 	}
 
 	/**
-	 * Store of a VM that dies at one of its calls.
+	 * Store of a process that is killed at one of its store calls.
 	 *
 	 * @author banyanstile contributors
 	 */
@@ -305,10 +305,10 @@
 
 		@Override
 		public TransactionResult transact(Transaction transaction) {
-			boolean dies = this.calls-- <= 0;
-			if (!dies || this.afterEffect) {
+			boolean killed = this.calls-- <= 0;
+			if (!killed || this.afterEffect) {
 				TransactionResult result = this.store.apply(transaction);
-				if (!dies) {
+				if (!killed) {
 					return result;
 				}
 			}
@@ -328,7 +328,7 @@
 	}
 
 	/**
-	 * Naive store access that rewrites rows without conditions.
+	 * Store access that drops the conditions of transactions.
 	 *
 	 * @param store the store
 	 * @author banyanstile contributors
