--- a/core/src/main/java/org/banyanstile/core/stream/OffsetChecker.java
+++ b/core/src/main/java/org/banyanstile/core/stream/OffsetChecker.java
@@ -1,9 +1,9 @@
 package org.banyanstile.core.stream;
 
 /**
- * Checks that the parts of an answer belong to the request and arrive without gaps. The
- * offset of a part is the number of tokens before it. Not safe for use by several
- * threads.
+ * Checks that the chunks of a streamed response belong to the request and arrive without
+ * gaps. The offset of a chunk is the number of tokens before it. Not safe for use by
+ * several threads.
  *
  * @author banyanstile contributors
  */
@@ -21,7 +21,7 @@
 	/**
 	 * Creates a checker.
 	 * @param requestId the request
-	 * @param fromOffset the offset of the first part that the caller lacks
+	 * @param fromOffset the offset of the first chunk that the caller has not received
 	 * @return the checker
 	 */
 	public static OffsetChecker create(String requestId, long fromOffset) {
@@ -29,14 +29,14 @@
 	}
 
 	/**
-	 * Checks a part.
-	 * @param partRequestId the request that the part names
-	 * @param offset the offset that the part names
-	 * @param length the number of tokens in the part, 0 for the end
-	 * @return the verdict; only an accepted part advances the expected offset
+	 * Checks a chunk.
+	 * @param chunkRequestId the request that the chunk names
+	 * @param offset the offset that the chunk names
+	 * @param length the number of tokens in the chunk, 0 for the end
+	 * @return the verdict; only an accepted chunk advances the expected offset
 	 */
-	public Verdict check(String partRequestId, long offset, int length) {
-		if (!this.requestId.equals(partRequestId)) {
+	public Verdict check(String chunkRequestId, long offset, int length) {
+		if (!this.requestId.equals(chunkRequestId)) {
 			return Verdict.FOREIGN;
 		}
 		if (offset > this.nextOffset) {
@@ -58,27 +58,27 @@
 	}
 
 	/**
-	 * Verdict on a part.
+	 * Verdict on a chunk.
 	 */
 	public enum Verdict {
 
 		/**
-		 * The part is next and goes to the caller.
+		 * The chunk is next and is sent to the caller.
 		 */
 		ACCEPTED,
 
 		/**
-		 * The caller has the part; it is dropped.
+		 * The caller has already received the chunk; it is dropped.
 		 */
 		DUPLICATE,
 
 		/**
-		 * Parts are missing; the connection is closed and resumed.
+		 * Chunks are missing; the connection is closed and resumed.
 		 */
 		GAP,
 
 		/**
-		 * The part belongs to another request; the connection is closed and resumed.
+		 * The chunk belongs to another request; the connection is closed and resumed.
 		 */
 		FOREIGN
 
--- a/core/src/main/java/org/banyanstile/core/stream/StreamDirectory.java
+++ b/core/src/main/java/org/banyanstile/core/stream/StreamDirectory.java
@@ -9,14 +9,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Running streams of one partition at its owner. Safe for use by several threads.
+ * Running streams of one partition, kept by the owner of the partition. Safe for use by
+ * several threads.
  *
  * @author banyanstile contributors
  */
 public final class StreamDirectory {
 
 	/**
-	 * Time after a takeover in which VMs announce their streams. They learn of a new
+	 * Time after a takeover within which VMs announce their streams. They learn of a new
 	 * owner by its heartbeat each second.
 	 */
 	public static final long ANNOUNCE_NANOS = TimeUnit.SECONDS.toNanos(3);
@@ -47,12 +48,12 @@
 	}
 
 	/**
-	 * Looks a stream up and registers the caller's if none runs, in one step, so that two
-	 * repeats at different VMs cannot both start a run.
+	 * Looks a stream up and registers the given one if none runs. Both are one atomic
+	 * step, so that two repeated requests at different VMs cannot both start a run.
 	 * @param key the identity of the request
 	 * @param own the stream to register
 	 * @param now the current time in nanoseconds
-	 * @return found, not running and now registered, or not yet known
+	 * @return the running stream, or that none ran, or that the owner does not know yet
 	 */
 	public StreamLookup open(StreamKey key, StreamInfo own, long now) {
 		synchronized (this.lock) {
@@ -69,7 +70,7 @@
 	}
 
 	/**
-	 * Records a running stream, from its holder.
+	 * Records a running stream that its holder announces.
 	 * @param key the identity of the request
 	 * @param stream the stream
 	 * @param now the current time in nanoseconds
@@ -93,7 +94,7 @@
 	 * @param requestId the request that the new holder saw in its lookup
 	 * @param holder the new holder
 	 * @param now the current time in nanoseconds
-	 * @return the stream with its previous holder, empty if it does not run any more
+	 * @return the stream with its previous holder, empty if it no longer runs
 	 */
 	public Optional<StreamInfo> takeOver(StreamKey key, String requestId, VmId holder, long now) {
 		synchronized (this.lock) {
--- a/core/src/main/java/org/banyanstile/core/stream/StreamInfo.java
+++ b/core/src/main/java/org/banyanstile/core/stream/StreamInfo.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Running stream as the owner of its partition knows it.
+ * Running stream as recorded by the owner of its partition.
  *
  * @param requestId the request at the engine
  * @param holder the serving VM
--- a/core/src/main/java/org/banyanstile/core/stream/StreamLookup.java
+++ b/core/src/main/java/org/banyanstile/core/stream/StreamLookup.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.stream;
 
 /**
- * Result of a lookup at the owner.
+ * Result of a lookup at the owner of the partition.
  *
  * @author banyanstile contributors
  */
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * The owner took over and has not yet heard from all VMs.
+	 * The owner took over and may not have received the announcements of all VMs yet.
 	 *
-	 * @param retryAfterNanos the time after which it answers
+	 * @param retryAfterNanos the time after which the lookup can be answered
 	 */
 	record NotYetKnown(long retryAfterNanos) implements StreamLookup {
 	}
--- a/core/src/main/java/org/banyanstile/core/stream/StreamRegistry.java
+++ b/core/src/main/java/org/banyanstile/core/stream/StreamRegistry.java
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	 * Returns whether a connection may still send answer parts.
+	 * Returns whether a connection may still send chunks of the response.
 	 * @param registration the registration
 	 * @return true if it is current
 	 */
--- a/core/src/main/java/org/banyanstile/core/stream/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/stream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Registry of running streams and the check of answer offsets.
+ * Registry of running streams and the check of offsets in streamed responses.
  */
 @NullMarked
 package org.banyanstile.core.stream;
--- a/core/src/test/java/org/banyanstile/core/stream/StreamTests.java
+++ b/core/src/test/java/org/banyanstile/core/stream/StreamTests.java
@@ -29,7 +29,8 @@
 	private final StreamDirectory directory = StreamDirectory.takeOver(0);
 
 	/**
-	 * Guards against two runs of one request when repeats reach two VMs at once.
+	 * Guards against two runs of one request when repeated requests reach two VMs at the
+	 * same time.
 	 */
 	@Test
 	void onlyOneOfTwoRepeatsStarts() {
@@ -40,7 +41,7 @@
 	}
 
 	/**
-	 * Guards against a second run of a stream that the previous owner knew.
+	 * Guards against a second run of a stream that the previous owner had recorded.
 	 */
 	@Test
 	void newOwnerAnswersOnlyAfterTheAnnouncements() {
@@ -81,10 +82,11 @@
 	}
 
 	/**
-	 * Guards against an answer with lost, repeated or foreign parts.
+	 * Guards against a response with chunks that are lost, repeated or from another
+	 * request.
 	 */
 	@Test
-	void partsAreAcceptedOnlyInOrder() {
+	void chunksAreAcceptedOnlyInOrder() {
 		OffsetChecker checker = OffsetChecker.create("r1", 5);
 		assertThat(checker.check("r2", 5, 1), equalTo(OffsetChecker.Verdict.FOREIGN));
 		assertThat(checker.check("r1", 4, 1), equalTo(OffsetChecker.Verdict.DUPLICATE));
