--- a/core/src/main/java/org/banyanstile/core/replica/ReplicaRow.java
+++ b/core/src/main/java/org/banyanstile/core/replica/ReplicaRow.java
@@ -6,7 +6,7 @@
  * A row as the store holds it.
  *
  * @param key key of the row
- * @param version version of the row, from the store's counter
+ * @param version version of the row, assigned by the store
  * @param value content, {@code null} for a removed row
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/replica/TableReplica.java
+++ b/core/src/main/java/org/banyanstile/core/replica/TableReplica.java
@@ -14,7 +14,7 @@
 
 /**
  * Copy of a table of the store. Changes come from the store's feed or from other VMs, in
- * any order and more than once; a row never goes back to an older version. Not safe for
+ * any order and more than once; a row is never replaced by an older version. Not safe for
  * use by several threads.
  *
  * @author banyanstile contributors
@@ -22,8 +22,8 @@
 public final class TableReplica {
 
 	/**
-	 * Removed rows that are remembered, so that other VMs learn of them. A VM that missed
-	 * more gets the whole table.
+	 * Number of removed rows that are retained to pass the removals on to other VMs. A VM
+	 * that missed more gets the whole table.
 	 */
 	static final int MAX_REMOVED = 512;
 
@@ -33,7 +33,7 @@
 
 	private long complete = -1;
 
-	private long forgotten = -1;
+	private long discardedVersion = -1;
 
 	private long storeMillis = -1;
 
@@ -46,8 +46,9 @@
 	}
 
 	/**
-	 * Returns the store's time at which the store vouched for this state.
-	 * @return the time in milliseconds of the store's clock, -1 if it never did
+	 * Returns the time at which the store last confirmed this state.
+	 * @return the time in milliseconds of the store's clock, -1 if it has not confirmed
+	 * any state
 	 */
 	public long storeMillis() {
 		return this.storeMillis;
@@ -71,10 +72,10 @@
 	}
 
 	/**
-	 * Applies the whole table as of one moment.
+	 * Applies the whole table as of one point in time.
 	 * @param all all rows
-	 * @param version the store's version at that moment
-	 * @param millis the store's time at that moment
+	 * @param version the store's version at that time
+	 * @param millis the store's time at that point, in milliseconds
 	 * @return the keys that changed
 	 */
 	public Set<String> replace(Collection<ReplicaRow> all, long version, long millis) {
@@ -97,7 +98,7 @@
 	/**
 	 * Applies changes that follow a known version.
 	 * @param changes changed and removed rows
-	 * @param after all changes after this version are among them
+	 * @param after all changes after this version are included
 	 * @param version the version up to which they are complete
 	 * @param millis the store's time of that version
 	 * @return the keys that changed
@@ -121,8 +122,8 @@
 		if (old != null && old.version() >= row.version()) {
 			return;
 		}
-		ReplicaRow gone = this.removed.get(row.key());
-		if (gone != null && gone.version() >= row.version()) {
+		ReplicaRow removal = this.removed.get(row.key());
+		if (removal != null && removal.version() >= row.version()) {
 			return;
 		}
 		this.removed.remove(row.key());
@@ -135,29 +136,29 @@
 			changed.add(row.key());
 		}
 		this.removed.put(row.key(), row);
-		forget();
+		discardOldestRemovals();
 	}
 
-	private void forget() {
+	private void discardOldestRemovals() {
 		Iterator<ReplicaRow> oldest = this.removed.values().iterator();
 		while (this.removed.size() > MAX_REMOVED && oldest.hasNext()) {
-			this.forgotten = Math.max(this.forgotten, oldest.next().version());
+			this.discardedVersion = Math.max(this.discardedVersion, oldest.next().version());
 			oldest.remove();
 		}
 	}
 
 	/**
-	 * Returns whether the changes after a version are still known one by one.
+	 * Returns whether all changes after a version are retained individually.
 	 * @param version the version
 	 * @return whether they are
 	 */
 	public boolean remembers(long version) {
-		return version >= this.forgotten && version >= 0;
+		return version >= this.discardedVersion && version >= 0;
 	}
 
 	/**
 	 * Returns the changes after a version.
-	 * @param version a version that is {@linkplain #remembers(long) remembered}
+	 * @param version a version for which {@link #remembers(long)} returned {@code true}
 	 * @return changed and removed rows
 	 */
 	public List<ReplicaRow> changesAfter(long version) {
--- a/core/src/main/java/org/banyanstile/core/replica/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/replica/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Copies of the store's tables that VMs keep and pass on to each other.
+ * Copies of the store's tables that VMs keep and exchange.
  */
 @NullMarked
 package org.banyanstile.core.replica;
--- a/core/src/test/java/org/banyanstile/core/replica/TableReplicaTests.java
+++ b/core/src/test/java/org/banyanstile/core/replica/TableReplicaTests.java
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void removedRowDoesNotComeBackFromAPeerThatLags() {
+	void removedRowIsNotRestoredByAPeerThatLags() {
 		this.replica.replace(List.of(row("a", 3)), 3, 100);
 		this.replica.apply(List.of(removed("a", 9)), 3, 9, 120);
 		this.replica.apply(List.of(row("a", 3)), 0, 3, 100);
