--- a/core/src/main/java/org/banyanstile/core/store/RowCodec.java
+++ b/core/src/main/java/org/banyanstile/core/store/RowCodec.java
@@ -4,7 +4,7 @@
 
 /**
  * Conversion between the fields of a record and the JSON text of a row. The library has
- * no JSON parser of its own, so the program that embeds it supplies one.
+ * no JSON parser, so the embedding program supplies the codec.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/store/StoreException.java
+++ b/core/src/main/java/org/banyanstile/core/store/StoreException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The table service gave no usable answer.
+ * The table service gave no usable response.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/store/StoreThrottledException.java
+++ b/core/src/main/java/org/banyanstile/core/store/StoreThrottledException.java
@@ -3,7 +3,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The table service refused the call for its rate limit; it did not take effect.
+ * The table service rejected the call because of its rate limit; the call did not take
+ * effect.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/store/TableStore.java
+++ b/core/src/main/java/org/banyanstile/core/store/TableStore.java
@@ -15,7 +15,7 @@
 	 * Applies a transaction.
 	 * @param transaction the transaction
 	 * @return whether it was committed
-	 * @throws StoreException if the service gave no answer;
+	 * @throws StoreException if the service gave no usable response;
 	 * {@link StoreOutcomeUnknownException} if the transaction may have taken effect or
 	 * may still do so
 	 */
@@ -25,7 +25,7 @@
 	 * Reads rows.
 	 * @param keys the row keys
 	 * @return the rows that exist
-	 * @throws StoreException if the service gave no answer
+	 * @throws StoreException if the service gave no usable response
 	 */
 	List<Row> read(Collection<String> keys) throws StoreException;
 
@@ -34,7 +34,7 @@
 	 * @param prefix the prefix
 	 * @param limit largest number of rows
 	 * @return the rows
-	 * @throws StoreException if the service gave no answer
+	 * @throws StoreException if the service gave no usable response
 	 */
 	List<Row> scan(String prefix, int limit) throws StoreException;
 
--- a/core/src/main/java/org/banyanstile/core/store/Transaction.java
+++ b/core/src/main/java/org/banyanstile/core/store/Transaction.java
@@ -8,7 +8,7 @@
  * @param operationId identifier of this attempt, for finding out later whether it took
  * effect
  * @param conditions conditions that must all hold
- * @param writes writes that are done if they hold
+ * @param writes writes that are made if they hold
  * @author banyanstile contributors
  */
 public record Transaction(String operationId, List<Condition> conditions, List<Write> writes) {
@@ -17,7 +17,7 @@
 	 * Copies the lists.
 	 * @param operationId identifier of this attempt
 	 * @param conditions conditions that must all hold
-	 * @param writes writes that are done if they hold
+	 * @param writes writes that are made if they hold
 	 */
 	public Transaction {
 		conditions = List.copyOf(conditions);
--- a/core/src/main/java/org/banyanstile/core/store/TransactionResult.java
+++ b/core/src/main/java/org/banyanstile/core/store/TransactionResult.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Result of a transaction that the table service has decided.
+ * Result of a transaction that the table service has committed or rejected.
  *
  * @author banyanstile contributors
  */
 public sealed interface TransactionResult {
 
 	/**
-	 * All conditions held and all writes were done.
+	 * All conditions held and all writes were made.
 	 *
-	 * @param versions new version of each written row; deleted rows are missing
+	 * @param versions new version of each written row, without deleted rows
 	 */
 	record Committed(Map<String, Long> versions) implements TransactionResult {
 
@@ -22,8 +22,8 @@
 	/**
 	 * A condition did not hold and nothing was written.
 	 *
-	 * @param current the rows named by the conditions, as they are; absent rows are
-	 * missing
+	 * @param current the current rows named by the conditions, without those that do not
+	 * exist
 	 */
 	record Conflict(List<Row> current) implements TransactionResult {
 
--- a/core/src/main/java/org/banyanstile/core/store/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Interface of the platform's transactional table service, as the decisions see it.
+ * Interface to the platform's transactional table service.
  */
 @NullMarked
 package org.banyanstile.core.store;
--- a/core/src/test/java/org/banyanstile/core/store/MemoryTableStore.java
+++ b/core/src/test/java/org/banyanstile/core/store/MemoryTableStore.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 
 /**
- * Table store in memory whose next calls can be made to fail.
+ * In-memory table store that can be made to fail its next calls.
  *
  * @author banyanstile contributors
  */
@@ -89,7 +89,7 @@
 	}
 
 	/**
-	 * Returns rows without faults.
+	 * Returns rows without injecting faults.
 	 * @param keys the row keys
 	 * @return the rows that exist
 	 */
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Returns rows without faults.
+	 * Returns rows without injecting faults.
 	 * @param prefix the prefix
 	 * @return the rows in key order
 	 */
@@ -129,7 +129,7 @@
 
 		/** The call succeeds. */
 		NONE,
-		/** The call is refused and has no effect. */
+		/** The call fails without effect. */
 		UNAVAILABLE,
 		/** The call takes effect and its reply is lost. */
 		LOST_REPLY,
--- a/core/src/test/java/org/banyanstile/core/store/TextRowCodec.java
+++ b/core/src/test/java/org/banyanstile/core/store/TextRowCodec.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Row codec for tests: one line a field, {@code name=s:text} or {@code name=n:number}.
+ * Row codec for tests: one line per field, {@code name=s:text} or {@code name=n:number}.
  *
  * @author banyanstile contributors
  */
