--- a/core/src/main/java/org/banyanstile/core/burn/BurnCounters.java
+++ b/core/src/main/java/org/banyanstile/core/burn/BurnCounters.java
@@ -8,15 +8,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts requests against the error budget, in memory that does not grow with the
- * traffic. Safe for use by several threads.
+ * Counts requests against the error budget, in memory that is independent of the number
+ * of requests. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class BurnCounters {
 
 	/**
-	 * Series that collects requests when all others are in use.
+	 * Series that collects the requests of further keys once the largest number of series
+	 * is reached.
 	 */
 	public static final BurnKey OTHER = new BurnKey(TeamId.of("other"), "other", DataCentreId.of("other"));
 
@@ -59,7 +60,7 @@
 	}
 
 	/**
-	 * Counts an event that uses up the budget of a cause, but does not decide whether its
+	 * Counts an event that uses error budget under a cause, independently of whether its
 	 * request meets the objective.
 	 * @param key the series
 	 * @param cause the cause
--- a/core/src/main/java/org/banyanstile/core/burn/BurnReport.java
+++ b/core/src/main/java/org/banyanstile/core/burn/BurnReport.java
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * Returns how fast the error budget is used.
+	 * Returns the burn rate, the speed at which the error budget is used up.
 	 * @param objective the fraction of requests that must be good, below 1
 	 * @return 1 if the budget is used up exactly at the end of its period
 	 */
--- a/core/src/main/java/org/banyanstile/core/burn/Cause.java
+++ b/core/src/main/java/org/banyanstile/core/burn/Cause.java
@@ -8,12 +8,12 @@
 public enum Cause {
 
 	/**
-	 * Refused although the team was within its rate.
+	 * Rejected although the team was within its rate.
 	 */
 	REFUSED_WITHIN_RATE,
 
 	/**
-	 * The first token came after the target.
+	 * The first token came later than the target.
 	 */
 	LATE_FIRST_TOKEN,
 
@@ -23,12 +23,12 @@
 	SLOW_DECODE,
 
 	/**
-	 * A prefill was done and its result not used.
+	 * A prefill was completed and its result was not used.
 	 */
 	WASTED_PREFILL,
 
 	/**
-	 * The answer was cut off or lost.
+	 * The response was truncated or lost.
 	 */
 	LOST_ANSWER
 
--- a/core/src/test/java/org/banyanstile/core/burn/BurnCountersTests.java
+++ b/core/src/test/java/org/banyanstile/core/burn/BurnCountersTests.java
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Guards against a wasted prefill that counts its request twice.
+	 * Guards against counting a request twice because of a wasted prefill.
 	 */
 	@Test
 	void eventCountsACauseWithoutARequest() {
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * Guards against memory that grows with the number of teams.
+	 * Guards against memory use that grows with the number of teams.
 	 */
 	@Test
 	void seriesBeyondTheBoundAreCountedTogether() {
