--- a/core/src/main/java/org/banyanstile/core/common/TeamId.java
+++ b/core/src/main/java/org/banyanstile/core/common/TeamId.java
@@ -1,7 +1,8 @@
 package org.banyanstile.core.common;
 
 /**
- * Name of a team, the unit of keys, limits and fairness.
+ * Name of a team, the unit to which keys and limits belong and among which capacity is
+ * shared fairly.
  *
  * @param name the name, never empty
  * @author banyanstile contributors
--- a/core/src/main/java/org/banyanstile/core/common/VmId.java
+++ b/core/src/main/java/org/banyanstile/core/common/VmId.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.common;
 
 /**
- * Name of an entry VM of the fleet.
+ * Name of a VM of the fleet.
  *
  * @param name the name, never empty
  * @author banyanstile contributors
--- a/core/src/main/java/org/banyanstile/core/common/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/common/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Identifiers and the monotonic time source that all other packages use.
+ * Identifiers and the monotonic time source that the other packages use.
  */
 @NullMarked
 package org.banyanstile.core.common;
