--- a/core/src/main/java/org/banyanstile/core/lease/ExpiredSlots.java
+++ b/core/src/main/java/org/banyanstile/core/lease/ExpiredSlots.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Releases the slots of VMs that failed. As long as there are more slots than VMs, no
+ * Releases the VM slots of VMs that failed. As long as there are more slots than VMs, no
  * other VM has to take such a slot, and without the release no VM would learn that its
  * epoch has ended.
  *
--- a/core/src/main/java/org/banyanstile/core/lease/ObservedSlot.java
+++ b/core/src/main/java/org/banyanstile/core/lease/ObservedSlot.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.lease;
 
 /**
- * A slot row as this VM has observed it.
+ * Row of a VM slot as this VM has observed it.
  *
  * @param record content of the row
  * @param version version of the row
--- a/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
+++ b/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
@@ -5,7 +5,7 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Identifiers of writes, unique over all processes.
+ * Generates identifiers of writes that are unique across all processes.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/lease/SlotLease.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotLease.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Lease of this VM's slot. Not safe for use by several threads.
+ * Lease of the VM slot of this VM. Not safe for use by several threads.
  * <p>
  * The lease is measured from before its last confirmed write was sent. A lease that has
  * ended is never renewed: the slot is acquired again with the next epoch, so that
--- a/core/src/main/java/org/banyanstile/core/lease/SlotRecord.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotRecord.java
@@ -12,9 +12,9 @@
 import org.banyanstile.core.store.RowCodec;
 
 /**
- * Content of the row {@code vm/<slot>}.
+ * Content of the row {@code vm/<slot>} of a VM slot.
  *
- * @param slot number of the slot
+ * @param slot number of the VM slot
  * @param vm VM that holds it
  * @param epoch increases with each acquisition of the slot
  * @param dataCentre data centre of the VM
--- a/core/src/main/java/org/banyanstile/core/lease/SlotTable.java
+++ b/core/src/main/java/org/banyanstile/core/lease/SlotTable.java
@@ -14,7 +14,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Slot rows as this VM has observed them. Not safe for use by several threads.
+ * Rows of the VM slots as this VM has observed them. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/lease/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/lease/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Slot leases and partition ownership. The classes decide which rows of the table service
- * to read and write.
+ * Leases of VM slots and partition ownership. The classes decide which rows of the table
+ * service to read and write.
  */
 @NullMarked
 package org.banyanstile.core.lease;
--- a/core/src/test/java/org/banyanstile/core/lease/FleetTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/FleetTests.java
@@ -229,7 +229,7 @@
 			this.fleet.start("new-" + i);
 		}
 		this.fleet.run(20);
-		assertThat("the old VMs still count", this.fleet.ownerOf("team/0"), equalTo(null));
+		assertThat("the old VMs still count for majorities", this.fleet.ownerOf("team/0"), equalTo(null));
 		this.fleet.run(90);
 		assertAllOwned();
 	}
