--- a/core/src/test/java/org/banyanstile/core/claim/OnceOnlyClaimsTests.java
+++ b/core/src/test/java/org/banyanstile/core/claim/OnceOnlyClaimsTests.java
@@ -76,7 +76,7 @@
 	}
 
 	@Test
-	void repeatWhileTheFirstIsAliveOrFrozenIsRunningAndWhenItIsGoneUnknown() {
+	void repeatedRequestIsRunningUntilTheEpochOfTheFirstVmEndsAndThenUnknown() {
 		HeldClaim claim = this.first.granted("b");
 		assertThat(this.first.claim("b"), equalTo(new ClaimResult.Running(this.first.holder)));
 		assertThat(this.first.claim("other"), instanceOf(ClaimResult.KeyReused.class));
@@ -126,7 +126,7 @@
 	}
 
 	@Test
-	void refusalWithoutAClaimKnowsWhetherAnEarlierAttemptMayHaveRun() {
+	void rejectionWithoutAClaimShowsWhetherAnEarlierAttemptMayHaveRun() {
 		assertThat(this.first.claims.mayHaveRun(IDENTITY), is(false));
 		HeldClaim claim = this.second.granted("b");
 		assertThat("running", this.first.claims.mayHaveRun(IDENTITY), is(true));
