--- a/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
+++ b/core/src/main/java/org/banyanstile/core/lease/OperationIds.java
@@ -5,7 +5,7 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Identifiers of writes, unique over all processes.
+ * Generates identifiers of writes that are unique across all processes.
  *
  * @author banyanstile contributors
  */
@@ -22,7 +22,7 @@
 	/**
 	 * Creates the sequence of one process.
 	 * @param vm this VM
-	 * @param random source of the part that distinguishes processes of one VM
+	 * @param random source of the random prefix that distinguishes processes of one VM
 	 * @return the sequence
 	 */
 	public static OperationIds create(VmId vm, RandomGenerator random) {
