--- a/server/src/main/java/org/banyanstile/server/router/AnswerFields.java
+++ b/server/src/main/java/org/banyanstile/server/router/AnswerFields.java
@@ -3,10 +3,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Header fields of an endpoint's answer that the router uses.
+ * Header fields of an endpoint's response that the router uses.
  *
- * @param attemptId id of the request that it answers, {@code null} if absent
- * @param sealed whether it carries the endpoint's seal
+ * @param attemptId id of the request that it responds to, {@code null} if absent
+ * @param sealed whether it has the endpoint's seal
  * @param notRun whether the endpoint says that it did not run the request
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/router/CallAttempts.java
+++ b/server/src/main/java/org/banyanstile/server/router/CallAttempts.java
@@ -3,8 +3,8 @@
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
- * Attempts of one call: which of them arrived at an endpoint, which ran or may have run,
- * and whether the call may be tried again.
+ * Counts the attempts of one call that reached an endpoint and those that ran or may have
+ * run, and decides whether the call may be retried.
  *
  * @author banyanstile contributors
  */
@@ -24,39 +24,39 @@
 	}
 
 	/**
-	 * Notes that an endpoint ran the call and answered.
+	 * Records that an endpoint ran the call and responded.
 	 */
-	void ran() {
+	void recordRun() {
 		this.runs++;
 		this.arrivals++;
 	}
 
 	/**
-	 * Notes an attempt that has not run.
+	 * Records an attempt that did not run.
 	 * @param endpoint the endpoint
-	 * @param outcome why, and whether it arrived
+	 * @param outcome why it did not run, and whether it reached the endpoint
 	 */
-	void notRun(RegisteredEndpoint endpoint, NotRunException outcome) {
-		this.arrivals += outcome.hasArrived() ? 1 : 0;
+	void recordNotRun(RegisteredEndpoint endpoint, NotRunException outcome) {
+		this.arrivals += outcome.hasReachedEndpoint() ? 1 : 0;
 		log(endpoint, "not run", String.valueOf(outcome.getMessage()));
 	}
 
 	/**
-	 * Notes an attempt that may have run.
+	 * Records an attempt that may have run.
 	 * @param endpoint the endpoint
 	 * @param outcome what went wrong
 	 */
-	void unknown(RegisteredEndpoint endpoint, UnknownOutcomeException outcome) {
-		ran();
+	void recordUnknownOutcome(RegisteredEndpoint endpoint, UnknownOutcomeException outcome) {
+		recordRun();
 		log(endpoint, "unknown", String.valueOf(outcome.getMessage()));
 	}
 
 	/**
-	 * Returns whether an attempt arrived at an endpoint, so that a further one is a
-	 * repeat.
+	 * Returns whether an attempt reached an endpoint, so that the next one counts as a
+	 * retry.
 	 * @return whether one did
 	 */
-	boolean hasArrived() {
+	boolean hasReachedEndpoint() {
 		return this.arrivals > 0;
 	}
 
@@ -65,51 +65,54 @@
 	}
 
 	/**
-	 * Takes what a further attempt needs from the retry budget.
+	 * Takes a retry from the retry budget if the next attempt counts as one.
 	 * @return whether the attempt is allowed
 	 */
-	boolean tryNext() {
-		return !hasArrived() || this.services.tryRepeat(this.call.service());
+	boolean tryAcquireAttempt() {
+		return !hasReachedEndpoint() || this.services.tryAcquireRetry(this.call.service());
 	}
 
 	/**
-	 * Returns whether the call may run once more after an attempt that ran.
+	 * Returns whether the call may be retried after an attempt that ran.
 	 * @return whether it may
 	 */
-	boolean mayRunAgain() {
-		return this.call.route().isRepeatable() && this.runs < this.call.route().maxAttempts() && !this.call.isOver();
+	boolean mayRetryAfterRun() {
+		return this.call.route().isRepeatable() && this.runs < this.call.route().maxAttempts()
+				&& !this.call.isCancelledOrTimedOut();
 	}
 
 	/**
-	 * Returns whether a further run would be allowed after the one that is about to
-	 * begin.
-	 * @return whether it would
+	 * Returns whether the call could be retried if the attempt that is about to begin
+	 * runs and fails.
+	 * @return whether it could
 	 */
-	boolean hasReserve() {
+	boolean mayRetryAfterNextRun() {
 		return this.call.route().isRepeatable() && this.runs + 1 < this.call.route().maxAttempts();
 	}
 
 	/**
-	 * Returns the refusal of a call that has no answer.
+	 * Returns the rejection of a call that got no response.
 	 * @param reason why the last attempt failed
-	 * @param retrySeconds time after which the caller may return if the call has not run
-	 * @return the refusal, which says that the call has not run only if that is certain
+	 * @param retryAfterSeconds time after which the caller may retry if the call has not
+	 * run
+	 * @return the rejection, which says that the call has not run only if that is certain
 	 */
-	RefusalException refusal(String reason, double retrySeconds) {
+	RejectionException rejection(String reason, double retryAfterSeconds) {
 		if (!hasRun()) {
-			return RefusalException.notRun(reason, retrySeconds);
+			return RejectionException.notRun(reason, retryAfterSeconds);
 		}
-		return this.call.isOver() ? RefusalException.timedOut() : RefusalException.unknown(reason);
+		return this.call.isCancelledOrTimedOut() ? RejectionException.timedOut()
+				: RejectionException.unknownOutcome(reason);
 	}
 
 	/**
 	 * Logs and counts the outcome of an attempt.
 	 * @param endpoint the endpoint
-	 * @param outcome class of the outcome
-	 * @param reason what decided it, may be empty
+	 * @param outcome kind of the outcome, also a metric label
+	 * @param reason details of the outcome, may be empty
 	 */
 	void log(RegisteredEndpoint endpoint, String outcome, String reason) {
-		this.services.metrics().outcome(outcome);
+		this.services.metrics().attemptOutcome(outcome);
 		this.services.log()
 			.request("attempt", this.call.id(), "endpoint", endpoint.id(), "service", this.call.service(), "run",
 					this.runs, "outcome", outcome, "reason", reason, "ageMillis", this.call.ageMillis());
--- a/server/src/main/java/org/banyanstile/server/router/CallerResponse.java
+++ b/server/src/main/java/org/banyanstile/server/router/CallerResponse.java
@@ -16,7 +16,7 @@
 import org.xnio.IoUtils;
 
 /**
- * Answer to a caller, written by the thread that serves the request.
+ * Response to a caller, written by the thread that serves the request.
  *
  * @author banyanstile contributors
  */
@@ -28,7 +28,7 @@
 
 	private @Nullable OutputStream out;
 
-	private boolean closing;
+	private boolean closesConnection;
 
 	CallerResponse(HttpServerExchange exchange, CallerConnection connection) {
 		this.exchange = exchange;
@@ -40,17 +40,17 @@
 	}
 
 	/**
-	 * Asks the caller to close the connection after this answer.
+	 * Asks the caller to close the connection after this response.
 	 */
-	void closeAfterwards() {
-		this.closing = true;
+	void closeConnectionAfterResponse() {
+		this.closesConnection = true;
 	}
 
 	/**
-	 * Sends the head of an endpoint's answer.
+	 * Sends the status and header fields of an endpoint's response.
 	 * @param status its status
 	 * @param headers its header fields
-	 * @param protocol decides which fields go back
+	 * @param protocol decides which header fields are forwarded
 	 */
 	void start(int status, List<Map.Entry<String, String>> headers, RequestProtocol protocol) {
 		this.exchange.setStatusCode(status);
@@ -60,94 +60,94 @@
 			}
 		}
 		if (!this.exchange.getResponseHeaders().contains(Headers.CONTENT_LENGTH) && this.exchange.isHttp11()) {
-			// Without it a body on a connection that will close has no end of its own, so
-			// one that breaks off looks complete.
+			// On a connection that will close, a body without chunked coding ends with
+			// the connection, so a truncated body would look complete.
 			this.exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
 		}
 		open();
 	}
 
 	private OutputStream open() {
-		if (this.closing) {
+		if (this.closesConnection) {
 			this.exchange.setPersistent(false);
 			this.exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
 		}
 		this.exchange.startBlocking();
-		OutputStream opened = this.exchange.getOutputStream();
-		this.out = opened;
-		return opened;
+		OutputStream stream = this.exchange.getOutputStream();
+		this.out = stream;
+		return stream;
 	}
 
 	/**
-	 * Sends a part of the body at once.
+	 * Sends a part of the body without delay.
 	 * @param bytes the part
-	 * @throws IOException if the caller has gone
+	 * @throws IOException if the caller has disconnected
 	 */
 	void write(ByteBuffer bytes) throws IOException {
-		OutputStream opened = this.out;
-		if (opened == null) {
-			throw new IllegalStateException("the answer has not begun");
+		OutputStream stream = this.out;
+		if (stream == null) {
+			throw new IllegalStateException("the head of the response has not been sent");
 		}
-		byte[] part = new byte[bytes.remaining()];
-		bytes.get(part);
-		opened.write(part);
-		opened.flush();
+		byte[] chunk = new byte[bytes.remaining()];
+		bytes.get(chunk);
+		stream.write(chunk);
+		stream.flush();
 	}
 
 	/**
-	 * Ends a complete answer.
-	 * @throws IOException if the caller has gone
+	 * Ends a complete response.
+	 * @throws IOException if the caller has disconnected
 	 */
 	void end() throws IOException {
 		this.connection.stop();
-		OutputStream opened = this.out;
-		if (opened != null) {
-			opened.close();
+		OutputStream stream = this.out;
+		if (stream != null) {
+			stream.close();
 		}
 		this.exchange.endExchange();
 	}
 
 	/**
-	 * Sends a whole answer.
+	 * Sends a complete response.
 	 * @param status its status
 	 * @param headers its header fields
 	 * @param body its body
-	 * @param protocol decides which fields go back
-	 * @throws IOException if the caller has gone
+	 * @param protocol decides which header fields are forwarded
+	 * @throws IOException if the caller has disconnected
 	 */
 	void send(int status, List<Map.Entry<String, String>> headers, byte[] body, RequestProtocol protocol)
 			throws IOException {
 		this.exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
 		start(status, headers, protocol);
-		OutputStream opened = this.out;
-		if (opened != null && body.length > 0) {
-			opened.write(body);
+		OutputStream stream = this.out;
+		if (stream != null && body.length > 0) {
+			stream.write(body);
 		}
 		end();
 	}
 
 	/**
-	 * Sends an answer of the router's own.
-	 * @param refusal what to answer
-	 * @throws IOException if the caller has gone
+	 * Sends an error response of the router.
+	 * @param rejection status and reason
+	 * @throws IOException if the caller has disconnected
 	 */
-	void refuse(RefusalException refusal) throws IOException {
-		byte[] body = ("{\"error\":\"" + refusal.getMessage().replace('"', '\'') + "\"}")
+	void reject(RejectionException rejection) throws IOException {
+		byte[] body = ("{\"error\":\"" + rejection.getMessage().replace('"', '\'') + "\"}")
 			.getBytes(StandardCharsets.UTF_8);
-		this.exchange.setStatusCode(refusal.status());
+		this.exchange.setStatusCode(rejection.status());
 		this.exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		this.exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
-		if (refusal.retryAfterSeconds() > 0) {
+		if (rejection.retryAfterSeconds() > 0) {
 			this.exchange.getResponseHeaders()
-				.put(Headers.RETRY_AFTER, String.format(Locale.ROOT, "%.2f", refusal.retryAfterSeconds()));
+				.put(Headers.RETRY_AFTER, String.format(Locale.ROOT, "%.2f", rejection.retryAfterSeconds()));
 		}
-		OutputStream opened = open();
-		opened.write(body);
+		OutputStream stream = open();
+		stream.write(body);
 		end();
 	}
 
 	/**
-	 * Breaks the connection, so that an incomplete answer cannot look complete.
+	 * Closes the connection, so that a truncated response cannot look complete.
 	 */
 	void abort() {
 		this.connection.stop();
--- a/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
+++ b/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
@@ -9,36 +9,36 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Structured log of decisions. Each kind has a budget of lines a second; what is left out
- * is counted and logged with the next line of that kind. The appender drops lines before
- * it blocks. Safe for use by several threads.
+ * Structured log of decisions. Each kind of line has a maximum rate; suppressed lines are
+ * counted, and the count is logged with the next line of that kind. The appender drops
+ * lines rather than block. Thread-safe.
  *
  * @author banyanstile contributors
  */
 public final class DecisionLog {
 
 	/**
-	 * Lines a second on single requests. A VM takes some tens of requests a second at its
-	 * share of the peak.
+	 * Maximum lines a second about single requests. At its share of the peak load a VM
+	 * receives some tens of requests a second.
 	 */
-	private static final int REQUEST_LINES = 40;
+	private static final int MAX_REQUEST_LINES = 40;
 
 	/**
-	 * Lines a second on changes of what the process believes.
+	 * Maximum lines a second about state changes.
 	 */
-	private static final int BELIEF_LINES = 40;
+	private static final int MAX_STATE_CHANGE_LINES = 40;
 
-	private static final int PROBLEM_LINES = 10;
+	private static final int MAX_PROBLEM_LINES = 10;
 
 	private static final Logger logger = LogManager.getLogger("decisions");
 
-	private final Budget requests = new Budget(REQUEST_LINES);
+	private final RateLimit requests = new RateLimit(MAX_REQUEST_LINES);
 
-	private final Budget beliefs = new Budget(BELIEF_LINES);
+	private final RateLimit stateChanges = new RateLimit(MAX_STATE_CHANGE_LINES);
 
-	private final Budget problems = new Budget(PROBLEM_LINES);
+	private final RateLimit problems = new RateLimit(MAX_PROBLEM_LINES);
 
-	private final AtomicLong leftOut = new AtomicLong();
+	private final AtomicLong suppressedLines = new AtomicLong();
 
 	private DecisionLog() {
 	}
@@ -52,33 +52,33 @@
 	}
 
 	/**
-	 * Logs a decision that touches a request.
+	 * Logs a decision about a request.
 	 * @param event what was decided
 	 * @param id id of the request
-	 * @param fields names and values, in turn
+	 * @param fields names and values, alternating
 	 */
 	public void request(String event, @Nullable String id, @Nullable Object... fields) {
-		if (this.requests.tryTake()) {
+		if (this.requests.tryAcquire()) {
 			write(this.requests, event, "request", (id != null) ? id : "none", fields);
 		}
 	}
 
 	/**
-	 * Logs a change of what the process believes.
+	 * Logs a change of the state that this VM assumes.
 	 * @param event what changed
-	 * @param fields names and values, in turn
+	 * @param fields names and values, alternating
 	 */
 	public void belief(String event, @Nullable Object... fields) {
-		if (this.beliefs.tryTake()) {
-			write(this.beliefs, event, null, null, fields);
+		if (this.stateChanges.tryAcquire()) {
+			write(this.stateChanges, event, null, null, fields);
 		}
 	}
 
 	/**
-	 * Logs a start, a stop, a reload, or a dependency that was lost or is back. These are
-	 * few and always written.
+	 * Logs a start, a stop, a reload, or the loss or recovery of a dependency. These
+	 * events are rare, so their rate is not limited.
 	 * @param event what happened
-	 * @param fields names and values, in turn
+	 * @param fields names and values, alternating
 	 */
 	public void lifecycle(String event, @Nullable Object... fields) {
 		write(null, event, null, null, fields);
@@ -86,24 +86,25 @@
 
 	/**
 	 * Logs an error that was handled.
-	 * @param what what failed and what follows
+	 * @param what what failed and with what effect
 	 * @param cause the error
 	 */
 	public void problem(String what, Throwable cause) {
-		if (this.problems.tryTake()) {
+		if (this.problems.tryAcquire()) {
 			write(this.problems, "problem", null, null, "what", what, "cause", cause.toString());
 		}
 	}
 
 	/**
-	 * Returns the number of lines that went beyond their budget.
+	 * Returns the number of lines that were suppressed because they exceeded the maximum
+	 * rate of their kind.
 	 * @return the number since the start
 	 */
-	public long leftOut() {
-		return this.leftOut.get();
+	public long suppressedLines() {
+		return this.suppressedLines.get();
 	}
 
-	private static void write(@Nullable Budget budget, String event, @Nullable String idName, @Nullable String id,
+	private static void write(@Nullable RateLimit limit, String event, @Nullable String idName, @Nullable String id,
 			@Nullable Object... fields) {
 		StringMapMessage message = new StringMapMessage(fields.length / 2 + 3);
 		message.put("event", event);
@@ -113,48 +114,48 @@
 		for (int i = 0; i + 1 < fields.length; i += 2) {
 			message.put(String.valueOf(fields[i]), String.valueOf(fields[i + 1]));
 		}
-		long left = (budget != null) ? budget.takeSkipped() : 0;
-		if (left > 0) {
-			message.put("linesLeftOut", Long.toString(left));
+		long suppressed = (limit != null) ? limit.drainSuppressed() : 0;
+		if (suppressed > 0) {
+			message.put("linesLeftOut", Long.toString(suppressed));
 		}
 		logger.info(message);
 	}
 
 	/**
-	 * Lines that may be written in each second.
+	 * Limits the lines that are written in each second.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private final class Budget {
+	private final class RateLimit {
 
-		private final int lines;
+		private final int maxLines;
 
-		private final AtomicLong second = new AtomicLong();
+		private final AtomicLong currentSecond = new AtomicLong();
 
 		private final AtomicInteger written = new AtomicInteger();
 
-		private final AtomicLong skipped = new AtomicLong();
+		private final AtomicLong suppressed = new AtomicLong();
 
-		private Budget(int lines) {
-			this.lines = lines;
+		private RateLimit(int maxLines) {
+			this.maxLines = maxLines;
 		}
 
-		private boolean tryTake() {
-			long now = System.nanoTime() / 1_000_000_000L;
-			long before = this.second.get();
-			if (now != before && this.second.compareAndSet(before, now)) {
+		private boolean tryAcquire() {
+			long second = System.nanoTime() / 1_000_000_000L;
+			long before = this.currentSecond.get();
+			if (second != before && this.currentSecond.compareAndSet(before, second)) {
 				this.written.set(0);
 			}
-			if (this.written.incrementAndGet() <= this.lines) {
+			if (this.written.incrementAndGet() <= this.maxLines) {
 				return true;
 			}
-			this.skipped.incrementAndGet();
-			DecisionLog.this.leftOut.incrementAndGet();
+			this.suppressed.incrementAndGet();
+			DecisionLog.this.suppressedLines.incrementAndGet();
 			return false;
 		}
 
-		private long takeSkipped() {
-			return this.skipped.getAndSet(0);
+		private long drainSuppressed() {
+			return this.suppressed.getAndSet(0);
 		}
 
 	}
--- /dev/null
+++ b/server/src/main/java/org/banyanstile/server/router/DecodeReservations.java
@@ -0,0 +1,175 @@
+package org.banyanstile.server.router;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.function.Predicate;
+
+import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EngineTraits;
+import org.banyanstile.core.catalog.RegisteredEndpoint;
+import org.banyanstile.core.placement.AdmissionLine;
+import org.banyanstile.io.http.HttpException;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Reserves memory at a decode engine before the prompt is prefilled, so that no prefill
+ * is wasted. The engine decides on the reservation, since only the engine knows its free
+ * memory; the shared loads only determine which engines are asked. This matters under
+ * loads in which decode memory is scarce.
+ *
+ * @author banyanstile contributors
+ */
+final class DecodeReservations {
+
+	/**
+	 * Maximum number of engines asked for a reservation in one attempt.
+	 */
+	private static final int MAX_ENGINES_ASKED = 3;
+
+	/**
+	 * Interval between reservation attempts of a queued request. A running batch frees
+	 * memory every few tens of milliseconds.
+	 */
+	private static final long RETRY_INTERVAL_MILLIS = 40;
+
+	/**
+	 * Typical time from the reservation to the first event: prefill, transfer of the KV
+	 * cache and the first decode step.
+	 */
+	private static final long TYPICAL_FIRST_EVENT_MILLIS = 350;
+
+	/**
+	 * Maximum time that a request waits for unclaimed memory after it can no longer meet
+	 * its objective. A late response still has some value, but a caller that is rejected
+	 * can retry while most of its deadline remains.
+	 */
+	private static final long MAX_LATE_WAIT_MILLIS = 2000;
+
+	private static final int BLOCK_TOKENS = 16;
+
+	private final RouterServices services;
+
+	private final RouterCall call;
+
+	private final EngineTraits traits;
+
+	private final long tokens;
+
+	DecodeReservations(RouterServices services, RouterCall call, EngineTraits traits, long tokens) {
+		this.services = services;
+		this.call = call;
+		this.traits = traits;
+		this.tokens = tokens;
+	}
+
+	/**
+	 * Waits in the admission queue for a reservation.
+	 * @return the reservation
+	 * @throws RejectionException if no engine has memory in time
+	 */
+	DecodeReservation awaitReservation() throws RejectionException {
+		if (this.tokens > this.traits.memoryTokens()) {
+			throw RejectionException.notRun("the request needs more memory than an engine has", 0);
+		}
+		AdmissionLine queue = this.services.admissionQueue(this.call.service());
+		long latestOnTimeMillis = this.call.route().objectiveMillis() - TYPICAL_FIRST_EVENT_MILLIS;
+		boolean late = this.call.ageMillis() > latestOnTimeMillis || this.call.isCallerRetry();
+		AdmissionLine.Ticket ticket = queue.join(late, this.call.priority(), this.tokens);
+		long maxAgeMillis = latestOnTimeMillis + MAX_LATE_WAIT_MILLIS;
+		try {
+			while (true) {
+				if (queue.isTurn(ticket)) {
+					DecodeReservation reservation = tryReserve((engine) -> true);
+					if (reservation != null) {
+						return reservation;
+					}
+				}
+				if (this.call.isCancelledOrTimedOut() || this.call.ageMillis() > maxAgeMillis) {
+					throw RejectionException.notRun("no engine has enough free memory for the request",
+							retryAfterSeconds(queue));
+				}
+				if (!ticket.late() && this.call.ageMillis() > latestOnTimeMillis) {
+					ticket = queue.fallBehind(ticket);
+				}
+				queue.awaitChange(RETRY_INTERVAL_MILLIS);
+			}
+		}
+		catch (InterruptedException ex) {
+			Thread.currentThread().interrupt();
+			throw RejectionException.notRun("this VM is shutting down", 0.1);
+		}
+		finally {
+			queue.leave(ticket);
+		}
+	}
+
+	/**
+	 * Tries to reserve memory at another engine, bypassing the admission queue, for a
+	 * stream whose engine sends no events.
+	 * @param engine the current engine of the stream, which is excluded
+	 * @return the reservation, or {@code null} if no other engine has memory
+	 */
+	@Nullable
+	DecodeReservation tryReserveElsewhere(RegisteredEndpoint engine) {
+		return tryReserve((other) -> !other.id().equals(engine.id()));
+	}
+
+	// Spreads the retries of callers over the time in which the engines can work off the
+	// admission queue.
+	private double retryAfterSeconds(AdmissionLine queue) {
+		double spread = Math.min(3, 0.5 + 0.1 * queue.length());
+		return 0.5 + spread * Math.random();
+	}
+
+	private @Nullable DecodeReservation tryReserve(Predicate<RegisteredEndpoint> candidate) {
+		List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointPhase.DECODE)
+			.stream()
+			.filter(candidate)
+			.toList();
+		List<RegisteredEndpoint> ordered = this.services.picker()
+			.mostFreeMemory(engines, this.traits.memoryTokens(), this.tokens, System.nanoTime());
+		int asked = 0;
+		for (RegisteredEndpoint engine : ordered) {
+			if (asked >= MAX_ENGINES_ASKED) {
+				break;
+			}
+			long used = this.services.loads().total(engine.id()).tokens();
+			// A reservation covers only the first seconds of a request, so without this
+			// bound running requests outgrow the memory and are preempted, and their
+			// prompts are prefilled again.
+			if (used > 0 && used + this.tokens > this.traits.memoryTokens()) {
+				break;
+			}
+			if (!this.services.tryAcquireColdRate(engine)) {
+				continue;
+			}
+			asked++;
+			String id = reserve(engine);
+			if (id != null) {
+				this.services.log()
+					.request("place", this.call.id(), "engine", engine.id(), "tokens", this.tokens, "usedTokens", used,
+							"asked", asked, "waiting", this.services.admissionQueue(this.call.service()).length(),
+							"ageMillis", this.call.ageMillis());
+				return new DecodeReservation(engine, id, this.tokens);
+			}
+		}
+		return null;
+	}
+
+	private @Nullable String reserve(RegisteredEndpoint engine) {
+		long roundedTokens = (this.tokens + BLOCK_TOKENS - 1) / BLOCK_TOKENS * BLOCK_TOKENS;
+		try {
+			String id = this.services.engineCalls()
+				.reserve(engine, roundedTokens, Duration.ofMillis(this.traits.maxReservationMillis()));
+			this.services.metrics().reservation((id != null) ? "taken" : "full");
+			return id;
+		}
+		catch (HttpException ex) {
+			this.services.health().unreachable(engine.id(), System.nanoTime());
+			this.services.metrics().reservation("unreachable");
+			this.services.log().problem("engine " + engine.id() + " did not respond to a reservation request", ex);
+			return null;
+		}
+	}
+
+}
--- a/server/src/main/java/org/banyanstile/server/router/DirectoryProtocol.java
+++ b/server/src/main/java/org/banyanstile/server/router/DirectoryProtocol.java
@@ -4,32 +4,32 @@
 import java.util.List;
 
 /**
- * Names and formats of the directory of VMs and of the readiness check.
+ * Paths and formats of the directory of VMs and of the readiness check.
  *
  * @author banyanstile contributors
  */
 public interface DirectoryProtocol {
 
 	/**
-	 * Returns whether a path asks for the directory.
+	 * Returns whether a path is that of the directory.
 	 * @param path the request path
-	 * @return whether it does
+	 * @return whether it is
 	 */
 	boolean isDirectory(String path);
 
 	/**
-	 * Returns whether a path asks for readiness.
+	 * Returns whether a path is that of the readiness check.
 	 * @param path the request path
-	 * @return whether it does
+	 * @return whether it is
 	 */
 	boolean isReadiness(String path);
 
 	/**
-	 * Writes an answer of the directory.
+	 * Encodes a response of the directory.
 	 * @param addresses caller addresses of VMs
-	 * @param life how long the answer may be used
+	 * @param lifetime how long callers may cache the response
 	 * @return the JSON body
 	 */
-	byte[] directoryAnswer(List<String> addresses, Duration life);
+	byte[] directoryAnswer(List<String> addresses, Duration lifetime);
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/EndpointClient.java
+++ b/server/src/main/java/org/banyanstile/server/router/EndpointClient.java
@@ -11,7 +11,8 @@
 import org.banyanstile.io.http.HttpResponse;
 
 /**
- * Passes requests on to endpoints and tells apart what certainly did not run.
+ * Forwards requests to endpoints and distinguishes requests that certainly did not run
+ * from those that may have run.
  *
  * @author banyanstile contributors
  */
@@ -19,7 +20,7 @@
 
 	private static final int MISDIRECTED = 421;
 
-	private static final int HUNDRED = 100;
+	private static final int STATUS_CLASS_SIZE = 100;
 
 	private static final int SUCCESS_CLASS = 2;
 
@@ -38,77 +39,79 @@
 	}
 
 	/**
-	 * Passes a request on and waits for the head of the answer.
+	 * Forwards a request and waits for the head of the response.
 	 * @param call the request
-	 * @param endpoint where it goes
-	 * @param fields what is added
-	 * @param maxIdle longest idle time of the connection that is used
-	 * @param timeout longest wait for the head
-	 * @return the answer of an endpoint that ran the request
+	 * @param endpoint the endpoint
+	 * @param fields header fields to add
+	 * @param maxIdle maximum idle time of a pooled connection that is reused
+	 * @param timeout maximum wait for the head of the response
+	 * @return the response of an endpoint that ran the request
 	 * @throws NotRunException if the request certainly did not run
 	 * @throws UnknownOutcomeException if it may have run
 	 */
 	HttpResponse send(RouterCall call, RegisteredEndpoint endpoint, EndpointFields fields, Duration maxIdle,
 			Duration timeout) throws NotRunException, UnknownOutcomeException {
 		HttpRequest request = call.request(endpoint.address(), this.protocol, fields);
-		Duration connect = request.connectTimeout();
+		Duration connectTimeout = request.connectTimeout();
 		long now = System.nanoTime();
 		try {
-			HttpResponse response = this.client
-				.send(request.withTimeout(timeout).withConnectTimeout(connect).withMaxIdle(maxIdle), call.handle());
+			HttpResponse response = this.client.send(
+					request.withTimeout(timeout).withConnectTimeout(connectTimeout).withMaxIdle(maxIdle),
+					call.callHandle());
 			return checked(call, endpoint, response, fields.prefillOnly());
 		}
 		catch (ConnectFailedException ex) {
-			if (!call.isOver()) {
+			if (!call.isCancelledOrTimedOut()) {
 				this.health.unreachable(endpoint.id(), now);
 			}
 			throw NotRunException.notSent(String.valueOf(ex.getMessage()));
 		}
 		catch (HttpException ex) {
-			if (!call.isOver()) {
+			if (!call.isCancelledOrTimedOut()) {
 				this.health.unreachable(endpoint.id(), now);
 			}
 			throw new UnknownOutcomeException(String.valueOf(ex.getMessage()));
 		}
 	}
 
-	private HttpResponse checked(RouterCall call, RegisteredEndpoint endpoint, HttpResponse response, boolean ownUse)
-			throws NotRunException, UnknownOutcomeException {
-		AnswerFields answer = this.protocol.answerFields(response.status(), response::header);
+	private HttpResponse checked(RouterCall call, RegisteredEndpoint endpoint, HttpResponse response,
+			boolean prefillOnly) throws NotRunException, UnknownOutcomeException {
+		AnswerFields fields = this.protocol.answerFields(response.status(), response::header);
 		if (response.status() == MISDIRECTED) {
 			this.health.replaced(endpoint.id(), System.nanoTime());
-			drain(response);
-			throw NotRunException.rejected("another instance answers at " + endpoint.address());
+			drainRefusal(response);
+			throw NotRunException.refused("another instance responds at " + endpoint.address());
 		}
 		String id = call.id();
-		if (id != null && !id.equals(answer.attemptId())) {
-			if (answer.notRun() && answer.attemptId() == null) {
-				drain(response);
-				throw NotRunException.rejected("refused by " + endpoint.id() + " with " + response.status());
+		if (id != null && !id.equals(fields.attemptId())) {
+			if (fields.notRun() && fields.attemptId() == null) {
+				drainRefusal(response);
+				throw NotRunException.refused("refused by " + endpoint.id() + " with " + response.status());
 			}
 			response.discard();
 			response.close();
-			throw new UnknownOutcomeException(endpoint.id() + " sent an answer to request " + answer.attemptId());
+			throw new UnknownOutcomeException(endpoint.id() + " sent a response to request " + fields.attemptId());
 		}
-		if (answer.notRun()) {
-			drain(response);
-			throw NotRunException.rejected("refused by " + endpoint.id() + " with " + response.status());
+		if (fields.notRun()) {
+			drainRefusal(response);
+			throw NotRunException.refused("refused by " + endpoint.id() + " with " + response.status());
 		}
-		if (!ownUse && !answer.sealed() && response.status() / HUNDRED == SUCCESS_CLASS) {
+		if (!prefillOnly && !fields.sealed() && response.status() / STATUS_CLASS_SIZE == SUCCESS_CLASS) {
 			response.discard();
 			response.close();
-			throw new UnknownOutcomeException(endpoint.id() + " sent a success without its seal");
+			throw new UnknownOutcomeException(endpoint.id() + " sent a successful response without its seal");
 		}
 		return response;
 	}
 
-	private static void drain(HttpResponse response) {
+	private static void drainRefusal(HttpResponse response) {
 		try {
 			response.setReadTimeout(Duration.ofMillis(100));
 			response.bytes(MAX_REFUSAL_BYTES);
 		}
 		catch (HttpException ex) {
-			// A refusal whose body does not end in time only costs its connection.
+			// If the body of a refusal does not end in time, the connection is not
+			// reused.
 			response.close();
 		}
 	}
--- a/server/src/main/java/org/banyanstile/server/router/EngineCalls.java
+++ b/server/src/main/java/org/banyanstile/server/router/EngineCalls.java
@@ -8,81 +8,83 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls to an engine that carry no request of a caller.
+ * Calls to engines that are not requests of a caller.
  *
  * @author banyanstile contributors
  */
 public interface EngineCalls {
 
 	/**
-	 * Reserves memory and a slot at a decode engine.
+	 * Reserves memory and an endpoint slot at a decode engine.
 	 * @param engine the engine
-	 * @param tokens tokens of prompt and output
-	 * @param life how long the reservation holds
-	 * @return id of the reservation, or {@code null} if there is no room
-	 * @throws HttpException if the engine did not answer
+	 * @param tokens tokens of the prompt and the output
+	 * @param lifetime time after which an unused reservation expires
+	 * @return id of the reservation, or {@code null} if the engine has no free memory or
+	 * slot
+	 * @throws HttpException if the engine did not respond
 	 */
 	@Nullable
-	String reserve(RegisteredEndpoint engine, long tokens, Duration life) throws HttpException;
+	String reserve(RegisteredEndpoint engine, long tokens, Duration lifetime) throws HttpException;
 
 	/**
-	 * Releases a reservation that is not used.
+	 * Releases an unused reservation.
 	 * @param engine the engine
 	 * @param reservation id of the reservation
-	 * @throws HttpException if the engine did not answer
+	 * @throws HttpException if the engine did not respond
 	 */
 	void releaseReservation(RegisteredEndpoint engine, String reservation) throws HttpException;
 
 	/**
-	 * Reads the handle from the answer to a prefill request.
-	 * @param answer body of the answer
-	 * @return the handle, or {@code null} if the answer is malformed
+	 * Reads the handle from the response to a prefill request.
+	 * @param body body of the response
+	 * @return the handle, or {@code null} if the response is malformed
 	 */
 	@Nullable
-	String prefillHandle(byte[] answer);
+	String prefillHandle(byte[] body);
 
 	/**
-	 * Names the KV cache behind a handle for a decode engine.
+	 * Returns the location of a KV cache in the form in which a decode engine expects it.
 	 * @param engine the prefill engine
 	 * @param handle the handle
-	 * @return the source
+	 * @return the location
 	 */
 	String cacheSource(RegisteredEndpoint engine, String handle);
 
 	/**
-	 * Frees the KV cache behind a handle that is not used.
+	 * Frees the KV cache of an unused handle.
 	 * @param engine the prefill engine
 	 * @param handle the handle
-	 * @throws HttpException if the engine did not answer
+	 * @throws HttpException if the engine did not respond
 	 */
 	void releaseHandle(RegisteredEndpoint engine, String handle) throws HttpException;
 
 	/**
-	 * Orders an engine to change its part.
+	 * Orders an engine to change its role.
 	 * @param engine the engine
-	 * @param phase the new part
+	 * @param role the new role
 	 * @param owner name of this VM
-	 * @param fencingToken token of the owner of orders
-	 * @return the engine's answer
-	 * @throws HttpException if the engine did not answer, so the outcome is unknown
+	 * @param fencingToken fencing token of the owner of role changes
+	 * @return the outcome
+	 * @throws HttpException if the engine did not respond, so the outcome is unknown
 	 */
-	OrderOutcome changePhase(RegisteredEndpoint engine, EndpointPhase phase, String owner, long fencingToken)
+	OrderOutcome changePhase(RegisteredEndpoint engine, EndpointPhase role, String owner, long fencingToken)
 			throws HttpException;
 
 	/**
-	 * An engine's answer to an order.
+	 * Outcome of a role-change order.
 	 *
 	 * @author banyanstile contributors
 	 */
 	enum OrderOutcome {
 
 		/**
-		 * The order is carried out, or already holds.
+		 * The engine carries out the order or already has the role.
 		 */
 		ACCEPTED,
 
 		/**
-		 * Another order is carried out, or the engine has accepted orders since.
+		 * The engine is carrying out another order, or has accepted another order since
+		 * its state was read.
 		 */
 		CONFLICT,
 
--- a/server/src/main/java/org/banyanstile/server/router/EventSplitter.java
+++ b/server/src/main/java/org/banyanstile/server/router/EventSplitter.java
@@ -7,8 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream of server-sent events after whole events. Not safe for use by several
- * threads.
+ * Splits a stream of server-sent events so that only complete events are forwarded. Not
+ * thread-safe.
  *
  * @author banyanstile contributors
  */
@@ -16,11 +16,11 @@
 
 	private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
 
-	private @Nullable String lastId;
+	private @Nullable String lastEventId;
 
-	private @Nullable String partialId;
+	private @Nullable String partialEventId;
 
-	private int events;
+	private int eventCount;
 
 	private boolean emptyLine = true;
 
@@ -29,44 +29,44 @@
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
 	/**
-	 * Takes bytes of the stream.
+	 * Appends bytes of the stream.
 	 * @param bytes the bytes
-	 * @return all whole events among what was taken so far
+	 * @return the events that these bytes complete
 	 */
-	ByteBuffer take(ByteBuffer bytes) {
-		ByteArrayOutputStream whole = new ByteArrayOutputStream();
+	ByteBuffer append(ByteBuffer bytes) {
+		ByteArrayOutputStream complete = new ByteArrayOutputStream();
 		while (bytes.hasRemaining()) {
-			byte b = bytes.get();
-			this.pending.write(b);
-			if (b == '\n') {
-				endLine(whole);
+			byte next = bytes.get();
+			this.pending.write(next);
+			if (next == '\n') {
+				endLine(complete);
 			}
-			else if (b != '\r') {
+			else if (next != '\r') {
 				this.emptyLine = false;
-				this.line.write(b);
+				this.line.write(next);
 			}
 		}
-		return ByteBuffer.wrap(whole.toByteArray());
+		return ByteBuffer.wrap(complete.toByteArray());
 	}
 
-	private void endLine(ByteArrayOutputStream whole) {
+	private void endLine(ByteArrayOutputStream complete) {
 		if (!this.emptyLine) {
 			this.inEvent = true;
 			String text = this.line.toString(StandardCharsets.UTF_8);
 			if (text.startsWith("id:")) {
-				this.partialId = text.substring(3).strip();
+				this.partialEventId = text.substring(3).strip();
 			}
 		}
 		else {
 			if (this.inEvent) {
-				this.events++;
+				this.eventCount++;
 			}
-			if (this.partialId != null) {
-				this.lastId = this.partialId;
-				this.partialId = null;
+			if (this.partialEventId != null) {
+				this.lastEventId = this.partialEventId;
+				this.partialEventId = null;
 			}
 			this.inEvent = false;
-			whole.writeBytes(this.pending.toByteArray());
+			complete.writeBytes(this.pending.toByteArray());
 			this.pending.reset();
 		}
 		this.emptyLine = true;
@@ -74,39 +74,40 @@
 	}
 
 	/**
-	 * Drops the beginning of an event that will not end, because the stream broke.
+	 * Discards the beginning of an event whose rest will not arrive because the stream
+	 * broke.
 	 */
-	void dropPartial() {
+	void discardPartialEvent() {
 		this.pending.reset();
 		this.line.reset();
-		this.partialId = null;
+		this.partialEventId = null;
 		this.emptyLine = true;
 		this.inEvent = false;
 	}
 
 	/**
-	 * Returns what follows the last whole event.
+	 * Returns the bytes after the last complete event.
 	 * @return the bytes
 	 */
-	ByteBuffer rest() {
+	ByteBuffer remainder() {
 		return ByteBuffer.wrap(this.pending.toByteArray());
 	}
 
 	/**
-	 * Returns the id of the newest whole event.
+	 * Returns the id of the last complete event.
 	 * @return the id, or {@code null} before the first one
 	 */
 	@Nullable
-	String lastId() {
-		return this.lastId;
+	String lastEventId() {
+		return this.lastEventId;
 	}
 
 	/**
-	 * Returns the number of whole events.
+	 * Returns the number of complete events.
 	 * @return the number
 	 */
-	int events() {
-		return this.events;
+	int eventCount() {
+		return this.eventCount;
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/GenerationRun.java
+++ b/server/src/main/java/org/banyanstile/server/router/GenerationRun.java
@@ -17,19 +17,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Serves a generation: reserves memory at a decode engine, has the prompt read by a
- * prefill engine, and passes the stream on as it arrives. A stream that breaks off goes
- * on at another engine where the route allows it.
+ * Serves a generation request: reserves memory at a decode engine, prefills the prompt at
+ * a prefill engine, and forwards the stream as it arrives. A broken stream fails over to
+ * another engine if the route allows it.
  *
  * @author banyanstile contributors
  */
 final class GenerationRun {
 
 	/**
-	 * Time after which a caller may return whose generation has not run although it had a
-	 * place, so engines fail or leave just now.
+	 * {@code Retry-After} for a generation that has not run although it had a
+	 * reservation, which means that engines are failing or shutting down.
 	 */
-	private static final double RETRY_SECONDS = 1;
+	private static final double RETRY_AFTER_SECONDS = 1;
 
 	private static final int SUCCESS = 200;
 
@@ -38,40 +38,41 @@
 	private static final int MAX_HANDLE_BYTES = 4096;
 
 	/**
-	 * Prefill engines that are tried for one prompt. Each further one takes a repeat from
-	 * the retry budget if the request arrived at the one before.
+	 * Maximum number of prefill engines tried for one prompt. Each one after the first
+	 * takes a retry from the retry budget if the request reached the engine before it.
 	 */
-	private static final int PREFILL_TRIES = 3;
+	private static final int MAX_PREFILL_ATTEMPTS = 3;
 
 	/**
-	 * Longest wait for a prefill engine, some times what the longest prompt takes on a
-	 * busy one.
+	 * Several times as long as a busy prefill engine takes for the longest prompt.
 	 */
-	private static final long PREFILL_MILLIS = 2500;
+	private static final long PREFILL_TIMEOUT_MILLIS = 2500;
 
 	/**
-	 * Silence after which a stream that may be resumed goes on elsewhere, if another
-	 * engine has memory for it. Events of a sound engine are 50 to 90 ms apart, and
-	 * callers give up after two seconds or more.
+	 * Time without an event after which a resumable stream fails over, if another engine
+	 * has memory for it. Events of a healthy engine are 50 to 90 ms apart, and callers
+	 * time out after 2 s or more.
 	 */
-	private static final long SILENCE_MILLIS = 1300;
+	private static final long SILENCE_TIMEOUT_MILLIS = 1300;
 
 	/**
-	 * Refusals after which a prompt is read again.
+	 * Number of decode engines that may refuse a request with the same prefilled prompt
+	 * before the prompt is prefilled again.
 	 */
 	private static final int MAX_PROMPT_REFUSALS = 2;
 
 	/**
-	 * Ratio of reserved output to the caller's estimate, which is right at the median.
+	 * Ratio of reserved output tokens to the caller's estimate, which is accurate at the
+	 * median.
 	 */
-	private static final double OUTPUT_MARGIN = 1.1;
+	private static final double OUTPUT_RESERVATION_RATIO = 1.1;
 
-	private static final Duration POOLED_IDLE = Duration.ofMillis(300);
+	private static final Duration MAX_POOLED_IDLE = Duration.ofMillis(300);
 
 	/**
-	 * Generations are not ranked at the engine. A more urgent one would preempt running
-	 * ones, whose prompts are then read again; the line before the reservation ranks
-	 * them.
+	 * Generations have no urgency at the engine: a more urgent one would preempt running
+	 * ones, whose prompts would have to be prefilled again. The admission queue, which a
+	 * request passes before its reservation, orders them by priority.
 	 */
 	private static final int NO_URGENCY = -1;
 
@@ -81,25 +82,25 @@
 
 	private final EngineTraits traits;
 
-	private final EventSplitter events = new EventSplitter();
+	private final EventSplitter splitter = new EventSplitter();
 
 	private final CallAttempts attempts;
 
 	/**
-	 * A prompt that was read and that no decode engine has taken yet.
+	 * Prefilled prompt that no decode engine has taken over yet.
 	 */
-	private @Nullable PrefilledPrompt prompt;
+	private @Nullable PrefilledPrompt prefilledPrompt;
 
 	/**
-	 * Decode engines that refused the request with this prompt, the second perhaps
-	 * because the prompt is gone.
+	 * Number of decode engines that refused the request with this prompt. The second
+	 * refusal may mean that the KV cache of the prompt no longer exists.
 	 */
 	private int promptRefusals;
 
 	/**
-	 * A place that is reserved for the rest of the stream when its engine is left.
+	 * Reservation at the engine that the stream fails over to.
 	 */
-	private @Nullable DecodePlace successor;
+	private @Nullable DecodeReservation failoverReservation;
 
 	private GenerationRun(RouterServices services, RouterCall call, EngineTraits traits) {
 		this.services = services;
@@ -112,189 +113,193 @@
 		return new GenerationRun(services, call, traits);
 	}
 
-	private long neededTokens() {
+	private long requiredTokens() {
 		CallerFields fields = this.call.fields();
 		long output = fields.maxOutputTokens();
 		if (fields.expectedOutputTokens() >= 0) {
-			output = Math.min(output, (long) (OUTPUT_MARGIN * fields.expectedOutputTokens()));
+			output = Math.min(output, (long) (OUTPUT_RESERVATION_RATIO * fields.expectedOutputTokens()));
 		}
 		return Math.max(0, fields.promptTokens()) + Math.max(1, output);
 	}
 
-	void serve() throws RefusalException, IOException {
+	void serve() throws RejectionException, IOException {
 		try {
 			run();
 		}
 		finally {
-			dropPrompt();
-			if (this.successor != null) {
-				releaseReservation(this.successor);
+			discardPrompt();
+			if (this.failoverReservation != null) {
+				releaseReservation(this.failoverReservation);
 			}
 		}
 	}
 
-	private void run() throws RefusalException, IOException {
-		String reason = "no engine took the request in time";
-		while (!this.call.isOver()) {
-			DecodePlace place = nextPlace();
-			if (place == null) {
-				reason = "the retry budget is used up";
+	private void run() throws RejectionException, IOException {
+		String reason = "no engine accepted the request before its deadline";
+		while (!this.call.isCancelledOrTimedOut()) {
+			DecodeReservation reservation = nextReservation();
+			if (reservation == null) {
+				reason = "the retry budget is exhausted";
 				break;
 			}
-			this.services.loads().begin(place.engine().id(), place.tokens());
+			this.services.loads().begin(reservation.engine().id(), reservation.tokens());
 			try {
-				if (decode(place)) {
+				if (decode(reservation)) {
 					return;
 				}
-				reason = "the stream broke off";
-				if (!this.attempts.mayRunAgain()) {
+				reason = "the stream broke before its end";
+				if (!this.attempts.mayRetryAfterRun()) {
 					break;
 				}
 			}
 			catch (NotRunException ex) {
 				reason = String.valueOf(ex.getMessage());
-				this.attempts.notRun(place.engine(), ex);
+				this.attempts.recordNotRun(reservation.engine(), ex);
 			}
 			catch (UnknownOutcomeException ex) {
 				reason = String.valueOf(ex.getMessage());
-				// The engine may have taken the prompt.
+				// The engine may have taken over the prefilled prompt.
 				this.promptRefusals = MAX_PROMPT_REFUSALS;
-				this.attempts.unknown(place.engine(), ex);
-				if (!this.attempts.mayRunAgain()) {
+				this.attempts.recordUnknownOutcome(reservation.engine(), ex);
+				if (!this.attempts.mayRetryAfterRun()) {
 					break;
 				}
 			}
 			finally {
-				this.services.loads().end(place.engine().id(), place.tokens());
-				this.services.line(this.call.service()).memoryFreed();
+				this.services.loads().end(reservation.engine().id(), reservation.tokens());
+				this.services.admissionQueue(this.call.service()).memoryFreed();
 			}
 		}
 		fail(reason);
 	}
 
-	private DecodePlaces places() {
-		return new DecodePlaces(this.services, this.call, this.traits, neededTokens());
+	private DecodeReservations reservations() {
+		return new DecodeReservations(this.services, this.call, this.traits, requiredTokens());
 	}
 
-	// Takes the place that is reserved for the rest of the stream, or waits for one.
-	// @return the place, or {@code null} if the retry budget is used up
-	private @Nullable DecodePlace nextPlace() throws RefusalException {
-		DecodePlace reserved = this.successor;
+	// Returns the failover reservation if there is one, else waits for a reservation.
+	// @return the reservation, or {@code null} if the retry budget is exhausted
+	private @Nullable DecodeReservation nextReservation() throws RejectionException {
+		DecodeReservation reserved = this.failoverReservation;
 		if (reserved != null) {
-			this.successor = null;
+			this.failoverReservation = null;
 			return reserved;
 		}
-		return permitted(places().await());
+		return releaseUnlessPermitted(reservations().awaitReservation());
 	}
 
-	private @Nullable DecodePlace permitted(DecodePlace place) {
-		if (this.attempts.tryNext()) {
-			return place;
+	private @Nullable DecodeReservation releaseUnlessPermitted(DecodeReservation reservation) {
+		if (this.attempts.tryAcquireAttempt()) {
+			return reservation;
 		}
-		releaseReservation(place);
+		releaseReservation(reservation);
 		return null;
 	}
 
-	private void fail(String reason) throws RefusalException {
+	private void fail(String reason) throws RejectionException {
 		if (this.call.response().isStarted()) {
 			this.services.log()
-				.request("stream broken", this.call.id(), "reason", reason, "events", this.events.events(), "ageMillis",
-						this.call.ageMillis());
+				.request("stream broken", this.call.id(), "reason", reason, "events", this.splitter.eventCount(),
+						"ageMillis", this.call.ageMillis());
 			this.call.response().abort();
 			return;
 		}
-		throw this.attempts.refusal(reason, RETRY_SECONDS);
+		throw this.attempts.rejection(reason, RETRY_AFTER_SECONDS);
 	}
 
 	// Runs the request at a decode engine.
-	// @return whether the answer is complete
-	private boolean decode(DecodePlace place)
-			throws NotRunException, UnknownOutcomeException, RefusalException, IOException {
+	// @return whether the response is complete
+	private boolean decode(DecodeReservation reservation)
+			throws NotRunException, UnknownOutcomeException, RejectionException, IOException {
 		boolean sent = false;
 		try {
-			choosePrompt(place);
-			if (this.call.isOver()) {
-				throw NotRunException.notSent("the time was over, or the caller gone, before the request was sent");
+			preparePrompt(reservation);
+			if (this.call.isCancelledOrTimedOut()) {
+				throw NotRunException
+					.notSent("the caller disconnected or the deadline passed before the request was sent");
 			}
-			if (!this.services.takesWork(place.engine())) {
-				throw NotRunException.notSent("engine " + place.engine().id() + " left before the request was sent");
+			if (!this.services.isUsableInCurrentRole(reservation.engine())) {
+				throw NotRunException.notSent("engine " + reservation.engine().id()
+						+ " became unavailable or began to change its role before the request was sent");
 			}
 			sent = true;
-			return stream(place);
+			return stream(reservation);
 		}
 		catch (NotRunException ex) {
-			if (ex.hasArrived()) {
-				// An engine that granted the reservation and refuses now is about to
-				// leave.
-				this.services.health().refused(place.engine().id(), System.nanoTime());
+			if (ex.hasReachedEndpoint()) {
+				// An engine that granted the reservation and now refuses the request is
+				// about to shut down.
+				this.services.health().refused(reservation.engine().id(), System.nanoTime());
 				this.promptRefusals++;
 			}
 			throw ex;
 		}
 		finally {
 			if (!sent) {
-				releaseReservation(place);
+				releaseReservation(reservation);
 			}
 		}
 	}
 
-	// Keeps the prompt that an earlier engine refused, or has it read.
-	private void choosePrompt(DecodePlace place) {
-		PrefilledPrompt kept = this.prompt;
+	// Keeps the prefilled prompt of a refused request while it is usable, else prefills
+	// the prompt again.
+	private void preparePrompt(DecodeReservation reservation) {
+		PrefilledPrompt kept = this.prefilledPrompt;
 		if (kept != null && this.promptRefusals < MAX_PROMPT_REFUSALS
 				&& kept.isUsable(this.traits.handleMillis(), System.nanoTime())) {
 			return;
 		}
-		dropPrompt();
-		this.prompt = prefill(place);
+		discardPrompt();
+		this.prefilledPrompt = prefill(reservation);
 		this.promptRefusals = 0;
 	}
 
-	private void dropPrompt() {
-		PrefilledPrompt kept = this.prompt;
+	private void discardPrompt() {
+		PrefilledPrompt kept = this.prefilledPrompt;
 		if (kept == null) {
 			return;
 		}
-		this.prompt = null;
+		this.prefilledPrompt = null;
 		this.services.metrics().wastedPrompt(this.call.fields().promptTokens());
 		try {
-			this.services.engines().releaseHandle(kept.engine(), kept.handle());
+			this.services.engineCalls().releaseHandle(kept.engine(), kept.handle());
 		}
 		catch (HttpException ex) {
-			this.services.log().problem("a handle at " + kept.engine().id() + " is left to lapse", ex);
+			this.services.log()
+				.problem("KV handle at " + kept.engine().id() + " was not released and remains until it expires", ex);
 		}
 	}
 
-	// Has the prompt read by a prefill engine.
-	// @return the prompt, or {@code null} if the decode engine has to read it
-	private @Nullable PrefilledPrompt prefill(DecodePlace place) {
+	// Prefills the prompt at a prefill engine.
+	// @return the prompt, or {@code null} if the decode engine has to prefill it
+	private @Nullable PrefilledPrompt prefill(DecodeReservation reservation) {
 		Set<String> tried = new HashSet<>();
-		boolean repeat = this.attempts.hasArrived();
-		for (int i = 0; i < PREFILL_TRIES && !this.call.isOver(); i++) {
+		boolean retry = this.attempts.hasReachedEndpoint();
+		for (int i = 0; i < MAX_PREFILL_ATTEMPTS && !this.call.isCancelledOrTimedOut(); i++) {
 			List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointPhase.PREFILL);
 			RegisteredEndpoint engine = this.services.picker()
-				.leastTokens(engines, tried, place.engine().dataCentre(), System.nanoTime());
+				.leastTokens(engines, tried, reservation.engine().dataCentre(), System.nanoTime());
 			if (engine == null || !PromptReader.isReadApart(this.call.fields().promptTokens(),
 					this.services.loads().total(engine.id()).tokens())) {
 				return null;
 			}
 			tried.add(engine.id());
-			if (!this.services.mayTakeCold(engine)) {
+			if (!this.services.tryAcquireColdRate(engine)) {
 				continue;
 			}
-			if (repeat && !this.services.tryRepeat(this.call.service())) {
+			if (retry && !this.services.tryAcquireRetry(this.call.service())) {
 				return null;
 			}
 			try {
 				return prefill(engine);
 			}
 			catch (NotRunException ex) {
-				repeat |= ex.hasArrived();
+				retry |= ex.hasReachedEndpoint();
 				this.services.health().refused(engine.id(), System.nanoTime());
 				this.attempts.log(engine, "prefill not run", ex.getMessage());
 			}
 			catch (UnknownOutcomeException | HttpException ex) {
-				repeat = true;
+				retry = true;
 				this.attempts.log(engine, "prefill lost", String.valueOf(ex.getMessage()));
 			}
 		}
@@ -304,127 +309,134 @@
 	private PrefilledPrompt prefill(RegisteredEndpoint engine)
 			throws NotRunException, UnknownOutcomeException, HttpException {
 		long tokens = Math.max(1, this.call.fields().promptTokens());
-		long began = System.nanoTime();
+		long startNanos = System.nanoTime();
 		this.services.loads().begin(engine.id(), tokens);
-		EndpointFields fields = new EndpointFields(engine.id(), this.call.team(), this.call.endpointMillis(), true,
-				null, null, NO_URGENCY, null);
-		Duration timeout = Duration.ofMillis(Math.max(1, Math.min(PREFILL_MILLIS, this.call.leftMillis())));
-		try (HttpResponse response = this.services.client().send(this.call, engine, fields, POOLED_IDLE, timeout)) {
+		EndpointFields fields = new EndpointFields(engine.id(), this.call.team(), this.call.endpointTimeoutMillis(),
+				true, null, null, NO_URGENCY, null);
+		Duration timeout = Duration
+			.ofMillis(Math.max(1, Math.min(PREFILL_TIMEOUT_MILLIS, this.call.remainingMillis())));
+		try (HttpResponse response = this.services.client().send(this.call, engine, fields, MAX_POOLED_IDLE, timeout)) {
 			byte[] body = response.bytes(MAX_HANDLE_BYTES);
-			String handle = (response.status() == SUCCESS) ? this.services.engines().prefillHandle(body) : null;
-			long millis = (System.nanoTime() - began) / 1_000_000;
+			String handle = (response.status() == SUCCESS) ? this.services.engineCalls().prefillHandle(body) : null;
+			long millis = (System.nanoTime() - startNanos) / 1_000_000;
 			this.services.health().answered(engine.id(), millis, handle == null, System.nanoTime());
 			if (handle == null) {
-				throw new UnknownOutcomeException(engine.id() + " answered a prefill with " + response.status());
+				throw new UnknownOutcomeException(
+						engine.id() + " responded to a prefill request with " + response.status());
 			}
 			this.attempts.log(engine, "prefilled", "in " + millis + " ms");
-			return new PrefilledPrompt(engine, handle, this.services.engines().cacheSource(engine, handle),
+			return new PrefilledPrompt(engine, handle, this.services.engineCalls().cacheSource(engine, handle),
 					System.nanoTime());
 		}
 		finally {
-			this.call.handle().end();
+			this.call.callHandle().end();
 			this.services.loads().end(engine.id(), tokens);
 		}
 	}
 
-	private boolean stream(DecodePlace place) throws NotRunException, UnknownOutcomeException, IOException {
-		RegisteredEndpoint engine = place.engine();
-		PrefilledPrompt offered = this.prompt;
-		EndpointFields fields = new EndpointFields(engine.id(), this.call.team(), this.call.endpointMillis(), false,
-				(offered != null) ? offered.source() : null, place.reservation(), NO_URGENCY, this.events.lastId());
+	private boolean stream(DecodeReservation reservation) throws NotRunException, UnknownOutcomeException, IOException {
+		RegisteredEndpoint engine = reservation.engine();
+		PrefilledPrompt offered = this.prefilledPrompt;
+		EndpointFields fields = new EndpointFields(engine.id(), this.call.team(), this.call.endpointTimeoutMillis(),
+				false, (offered != null) ? offered.cacheSource() : null, reservation.id(), NO_URGENCY,
+				this.splitter.lastEventId());
 		boolean resumable = this.call.route().resumable();
-		Duration silence = Duration.ofMillis(Math.max(1, this.call.leftMillis()));
-		try (HttpResponse response = this.services.client().send(this.call, engine, fields, POOLED_IDLE, silence)) {
-			this.attempts.ran();
-			this.prompt = null;
+		Duration responseTimeout = Duration.ofMillis(Math.max(1, this.call.remainingMillis()));
+		try (HttpResponse response = this.services.client()
+			.send(this.call, engine, fields, MAX_POOLED_IDLE, responseTimeout)) {
+			this.attempts.recordRun();
+			this.prefilledPrompt = null;
 			if (response.status() != SUCCESS) {
-				return failure(engine, response);
+				return handleFailure(engine, response);
 			}
 			if (!this.call.response().isStarted()) {
 				this.call.response().start(response.status(), response.headers(), this.services.protocol());
 			}
-			response.setReadTimeout(resumable ? Duration.ofMillis(SILENCE_MILLIS) : silence);
+			response.setReadTimeout(resumable ? Duration.ofMillis(SILENCE_TIMEOUT_MILLIS) : responseTimeout);
 			relay(response, engine);
 			this.services.health().answered(engine.id(), 0, false, System.nanoTime());
 			this.call.response().end();
-			this.attempts.log(engine, "complete", this.events.events() + " events");
+			this.attempts.log(engine, "complete", this.splitter.eventCount() + " events");
 			return true;
 		}
 		catch (HttpException ex) {
-			this.events.dropPartial();
-			if (!this.call.isOver()) {
+			this.splitter.discardPartialEvent();
+			if (!this.call.isCancelledOrTimedOut()) {
 				this.services.health().unreachable(engine.id(), System.nanoTime());
 			}
 			this.attempts.log(engine, "broken", String.valueOf(ex.getMessage()));
 			return false;
 		}
 		finally {
-			this.call.handle().end();
+			this.call.callHandle().end();
 		}
 	}
 
 	private void relay(HttpResponse response, RegisteredEndpoint engine) throws HttpException, IOException {
 		ByteBuffer bytes = next(response, engine);
-		boolean first = this.events.events() == 0;
+		boolean first = this.splitter.eventCount() == 0;
 		while (bytes != null) {
-			ByteBuffer whole = this.events.take(bytes);
-			if (whole.hasRemaining()) {
+			ByteBuffer completeEvents = this.splitter.append(bytes);
+			if (completeEvents.hasRemaining()) {
 				if (first) {
 					first = false;
-					this.services.metrics().firstByte(this.call.route().kind().name(), this.call.ageMillis());
+					this.services.metrics().firstEvent(this.call.route().kind().name(), this.call.ageMillis());
 				}
-				this.call.response().write(whole);
+				this.call.response().write(completeEvents);
 			}
 			bytes = next(response, engine);
 		}
-		if (this.events.rest().hasRemaining()) {
-			this.call.response().write(this.events.rest());
+		if (this.splitter.remainder().hasRemaining()) {
+			this.call.response().write(this.splitter.remainder());
 		}
 	}
 
-	// Waits for more of the stream. Silence alone does not end it: a preempted request
-	// goes on when its engine has memory again.
+	// Waits for more bytes of the stream. A read timeout alone does not end it: a
+	// preempted request continues when its engine has memory again.
 	private @Nullable ByteBuffer next(HttpResponse response, RegisteredEndpoint engine) throws HttpException {
 		while (true) {
 			try {
 				return response.next();
 			}
 			catch (ResponseTimeoutException ex) {
-				if (this.call.isOver() || hasSuccessor(engine)) {
+				if (this.call.isCancelledOrTimedOut() || tryReserveFailover(engine)) {
 					throw ex;
 				}
-				this.attempts.log(engine, "silent", "no other engine can go on with the stream");
+				this.attempts.log(engine, "silent", "no other engine can take over the stream");
 			}
 		}
 	}
 
-	private boolean hasSuccessor(RegisteredEndpoint engine) {
-		if (!this.call.route().resumable() || !this.attempts.mayRunAgain()) {
+	private boolean tryReserveFailover(RegisteredEndpoint engine) {
+		if (!this.call.route().resumable() || !this.attempts.mayRetryAfterRun()) {
 			return false;
 		}
-		DecodePlace place = places().tryElsewhere(engine);
-		this.successor = (place != null) ? permitted(place) : null;
-		return this.successor != null;
+		DecodeReservation reservation = reservations().tryReserveElsewhere(engine);
+		this.failoverReservation = (reservation != null) ? releaseUnlessPermitted(reservation) : null;
+		return this.failoverReservation != null;
 	}
 
-	// An engine answered with a failure, so it ran the request.
-	private boolean failure(RegisteredEndpoint engine, HttpResponse response) throws HttpException, IOException {
+	// Handles an error status, which means that the engine ran the request.
+	private boolean handleFailure(RegisteredEndpoint engine, HttpResponse response) throws HttpException, IOException {
 		byte[] body = response.bytes(MAX_HANDLE_BYTES * 16);
 		this.services.health().answered(engine.id(), 0, response.status() >= SERVER_ERROR, System.nanoTime());
 		this.attempts.log(engine, Integer.toString(response.status()), "");
-		if (this.call.response().isStarted() || (response.status() >= SERVER_ERROR && this.attempts.mayRunAgain())) {
+		if (this.call.response().isStarted()
+				|| (response.status() >= SERVER_ERROR && this.attempts.mayRetryAfterRun())) {
 			return false;
 		}
 		this.call.response().send(response.status(), response.headers(), body, this.services.protocol());
 		return true;
 	}
 
-	private void releaseReservation(DecodePlace place) {
+	private void releaseReservation(DecodeReservation reservation) {
 		try {
-			this.services.engines().releaseReservation(place.engine(), place.reservation());
+			this.services.engineCalls().releaseReservation(reservation.engine(), reservation.id());
 		}
 		catch (HttpException ex) {
-			this.services.log().problem("a reservation at " + place.engine().id() + " is left to lapse", ex);
+			this.services.log()
+				.problem("reservation at " + reservation.engine().id()
+						+ " was not released and remains until it expires", ex);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/NotRunException.java
+++ b/server/src/main/java/org/banyanstile/server/router/NotRunException.java
@@ -3,7 +3,7 @@
 import java.io.Serial;
 
 /**
- * An endpoint certainly did not run a request.
+ * Thrown if a request certainly did not run at an endpoint.
  *
  * @author banyanstile contributors
  */
@@ -12,28 +12,28 @@
 	@Serial
 	private static final long serialVersionUID = 1L;
 
-	private final boolean arrived;
+	private final boolean reachedEndpoint;
 
-	private NotRunException(String message, boolean arrived) {
+	private NotRunException(String message, boolean reachedEndpoint) {
 		super(message, null, false, false);
-		this.arrived = arrived;
+		this.reachedEndpoint = reachedEndpoint;
 	}
 
 	static NotRunException notSent(String message) {
 		return new NotRunException(message, false);
 	}
 
-	static NotRunException rejected(String message) {
+	static NotRunException refused(String message) {
 		return new NotRunException(message, true);
 	}
 
 	/**
-	 * Returns whether the request reached the endpoint, which counts as a use of the
-	 * retry budget.
+	 * Returns whether the request reached the endpoint, so that the next attempt counts
+	 * as a retry.
 	 * @return whether it did
 	 */
-	boolean hasArrived() {
-		return this.arrived;
+	boolean hasReachedEndpoint() {
+		return this.reachedEndpoint;
 	}
 
 	@Override
--- a/server/src/main/java/org/banyanstile/server/router/PlainRun.java
+++ b/server/src/main/java/org/banyanstile/server/router/PlainRun.java
@@ -15,30 +15,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Serves a request to a plain service. The answer is read whole before any of it goes
- * back, so an answer that breaks off can be replaced by another attempt.
+ * Serves a request to a plain service. The response is buffered completely before any of
+ * it is sent to the caller, so the request can be retried if the response breaks off.
  *
  * @author banyanstile contributors
  */
 final class PlainRun {
 
 	/**
-	 * A call that must not run twice goes on a connection that was in use this recently,
-	 * or on a new one, since a request on a connection that the endpoint has closed
-	 * leaves its outcome unknown.
+	 * Maximum idle time of a pooled connection that is reused for a call that must not
+	 * run twice. If the endpoint has closed the connection in the meantime, the outcome
+	 * of the request is unknown.
 	 */
-	private static final Duration ONCE_ONLY_IDLE = Duration.ofMillis(300);
+	private static final Duration MAX_ONCE_ONLY_IDLE = Duration.ofMillis(300);
 
-	private static final Duration REPEATABLE_IDLE = Duration.ofSeconds(5);
+	private static final Duration MAX_REPEATABLE_IDLE = Duration.ofSeconds(5);
 
 	private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
 	private static final int SERVER_ERROR = 500;
 
 	/**
-	 * Time after which a caller may return when no endpoint is known or all are full.
+	 * {@code Retry-After} if no endpoint is known or all are full.
 	 */
-	private static final double RETRY_SECONDS = 0.5;
+	private static final double RETRY_AFTER_SECONDS = 0.5;
 
 	private final RouterServices services;
 
@@ -58,35 +58,35 @@
 		return new PlainRun(services, call);
 	}
 
-	void serve() throws RefusalException, IOException {
-		WholeAnswer failure = null;
+	void serve() throws RejectionException, IOException {
+		BufferedResponse failure = null;
 		String reason = "";
-		while (!this.call.isOver()) {
-			RegisteredEndpoint endpoint = pick();
+		while (!this.call.isCancelledOrTimedOut()) {
+			RegisteredEndpoint endpoint = pickEndpoint();
 			if (endpoint == null) {
 				reason = "no endpoint of the service is available";
 				break;
 			}
-			if (!this.attempts.tryNext()) {
-				reason = "the retry budget is used up";
+			if (!this.attempts.tryAcquireAttempt()) {
+				reason = "the retry budget is exhausted";
 				break;
 			}
 			try {
-				WholeAnswer answer = attempt(endpoint);
-				if (!isWorthRepeating(answer)) {
-					send(answer);
+				BufferedResponse buffered = attempt(endpoint);
+				if (!shouldRetry(buffered)) {
+					send(buffered);
 					return;
 				}
-				failure = answer;
+				failure = buffered;
 			}
 			catch (NotRunException ex) {
 				reason = String.valueOf(ex.getMessage());
-				this.attempts.notRun(endpoint, ex);
+				this.attempts.recordNotRun(endpoint, ex);
 			}
 			catch (UnknownOutcomeException ex) {
 				reason = String.valueOf(ex.getMessage());
-				this.attempts.unknown(endpoint, ex);
-				if (!this.attempts.mayRunAgain()) {
+				this.attempts.recordUnknownOutcome(endpoint, ex);
+				if (!this.attempts.mayRetryAfterRun()) {
 					break;
 				}
 			}
@@ -94,24 +94,25 @@
 		finish(failure, reason);
 	}
 
-	private void finish(@Nullable WholeAnswer failure, String reason) throws RefusalException, IOException {
-		if (failure != null && !this.call.isCallerGone()) {
+	private void finish(@Nullable BufferedResponse failure, String reason) throws RejectionException, IOException {
+		if (failure != null && !this.call.isCallerDisconnected()) {
 			send(failure);
 			return;
 		}
-		throw this.attempts.refusal(this.call.isOver() ? "no endpoint took the request in time" : reason,
-				RETRY_SECONDS);
+		throw this.attempts.rejection(
+				this.call.isCancelledOrTimedOut() ? "no endpoint accepted the request before its deadline" : reason,
+				RETRY_AFTER_SECONDS);
 	}
 
-	private void send(WholeAnswer answer) throws IOException {
-		this.call.response().send(answer.status(), answer.headers(), answer.body(), this.services.protocol());
+	private void send(BufferedResponse buffered) throws IOException {
+		this.call.response().send(buffered.status(), buffered.headers(), buffered.body(), this.services.protocol());
 	}
 
-	private boolean isWorthRepeating(WholeAnswer answer) {
-		return answer.status() >= SERVER_ERROR && this.attempts.mayRunAgain();
+	private boolean shouldRetry(BufferedResponse buffered) {
+		return buffered.status() >= SERVER_ERROR && this.attempts.mayRetryAfterRun();
 	}
 
-	private @Nullable RegisteredEndpoint pick() {
+	private @Nullable RegisteredEndpoint pickEndpoint() {
 		List<RegisteredEndpoint> candidates = new ArrayList<>(
 				this.services.view().snapshot().usable(this.call.service(), EndpointPhase.PLAIN));
 		while (!candidates.isEmpty()) {
@@ -119,7 +120,7 @@
 			if (endpoint == null || (this.tried.contains(endpoint.id()) && !this.attempts.hasRun())) {
 				return null;
 			}
-			if (this.services.mayTakeCold(endpoint)) {
+			if (this.services.tryAcquireColdRate(endpoint)) {
 				return endpoint;
 			}
 			candidates.remove(endpoint);
@@ -127,51 +128,55 @@
 		return null;
 	}
 
-	private WholeAnswer attempt(RegisteredEndpoint endpoint) throws NotRunException, UnknownOutcomeException {
+	private BufferedResponse attempt(RegisteredEndpoint endpoint) throws NotRunException, UnknownOutcomeException {
 		this.tried.add(endpoint.id());
 		boolean repeatable = this.call.route().isRepeatable();
-		EndpointFields fields = EndpointFields.plain(endpoint.id(), this.call.team(), this.call.endpointMillis());
-		long began = System.nanoTime();
+		EndpointFields fields = EndpointFields.plain(endpoint.id(), this.call.team(),
+				this.call.endpointTimeoutMillis());
+		long startNanos = System.nanoTime();
 		this.services.loads().begin(endpoint.id(), 0);
 		try (HttpResponse response = this.services.client()
-			.send(this.call, endpoint, fields, repeatable ? REPEATABLE_IDLE : ONCE_ONLY_IDLE, attemptTimeout())) {
+			.send(this.call, endpoint, fields, repeatable ? MAX_REPEATABLE_IDLE : MAX_ONCE_ONLY_IDLE,
+					attemptTimeout())) {
 			response.setReadTimeout(attemptTimeout());
-			WholeAnswer answer = new WholeAnswer(response.status(), response.headers(), response.bytes(MAX_BODY_BYTES));
-			this.attempts.ran();
-			long millis = (System.nanoTime() - began) / 1_000_000;
-			this.services.health().answered(endpoint.id(), millis, answer.status() >= SERVER_ERROR, System.nanoTime());
-			this.attempts.log(endpoint, Integer.toString(answer.status()), "");
-			return answer;
+			BufferedResponse buffered = new BufferedResponse(response.status(), response.headers(),
+					response.bytes(MAX_BODY_BYTES));
+			this.attempts.recordRun();
+			long millis = (System.nanoTime() - startNanos) / 1_000_000;
+			this.services.health()
+				.answered(endpoint.id(), millis, buffered.status() >= SERVER_ERROR, System.nanoTime());
+			this.attempts.log(endpoint, Integer.toString(buffered.status()), "");
+			return buffered;
 		}
 		catch (HttpException ex) {
-			if (!this.call.isOver()) {
+			if (!this.call.isCancelledOrTimedOut()) {
 				this.services.health().unreachable(endpoint.id(), System.nanoTime());
 			}
-			throw new UnknownOutcomeException("the answer broke off: " + ex.getMessage());
+			throw new UnknownOutcomeException("response broke before its end: " + ex.getMessage());
 		}
 		finally {
-			this.call.handle().end();
+			this.call.callHandle().end();
 			this.services.loads().end(endpoint.id(), 0);
 		}
 	}
 
-	// A call that may be repeated waits only so long for the first endpoint that another
-	// one can still answer within the objective's order of magnitude.
+	// Limits the wait of a call that may be retried, so that another endpoint can still
+	// respond within the order of magnitude of the objective.
 	private Duration attemptTimeout() {
-		long left = Math.max(1, this.call.leftMillis());
-		return Duration
-			.ofMillis(this.attempts.hasReserve() ? Math.min(left, 2 * this.call.route().objectiveMillis()) : left);
+		long remaining = Math.max(1, this.call.remainingMillis());
+		return Duration.ofMillis(this.attempts.mayRetryAfterNextRun()
+				? Math.min(remaining, 2 * this.call.route().objectiveMillis()) : remaining);
 	}
 
 	/**
-	 * A whole answer of an endpoint.
+	 * Complete response of an endpoint.
 	 *
 	 * @param status its status
 	 * @param headers its header fields
 	 * @param body its body
 	 * @author banyanstile contributors
 	 */
-	private record WholeAnswer(int status, List<Map.Entry<String, String>> headers, byte[] body) {
+	private record BufferedResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/RequestIntake.java
+++ b/server/src/main/java/org/banyanstile/server/router/RequestIntake.java
@@ -25,72 +25,72 @@
 import org.xnio.IoUtils;
 
 /**
- * Takes requests of callers: reads them whole, finds route, team and quota, and has them
- * served by a thread each.
+ * Accepts requests of callers: reads each one completely, finds its route and team,
+ * charges the quota, and serves it in a thread of its own.
  *
  * @author banyanstile contributors
  */
 final class RequestIntake implements HttpHandler {
 
 	/**
-	 * Requests that are served at once; each takes a thread. At its share of the peak a
-	 * VM serves a few tens.
+	 * Each request that is served takes a thread. At its share of the peak load a VM
+	 * serves a few tens at a time.
 	 */
-	static final int MAX_CALLS = 300;
+	static final int MAX_CONCURRENT_REQUESTS = 300;
 
-	private static final int DEFAULT_MAX_BODY = 8 * 1024 * 1024;
+	private static final int DEFAULT_MAX_BODY_BYTES = 8 * 1024 * 1024;
 
 	/**
-	 * Time after which a caller may return that this VM cannot serve just now. Others
-	 * can, and callers choose one at random.
+	 * {@code Retry-After} for a request that this VM cannot serve at the moment. Other
+	 * VMs can, and callers choose a VM at random.
 	 */
-	private static final double SOON_SECONDS = 0.3;
+	private static final double RETRY_AFTER_SECONDS = 0.3;
 
 	/**
-	 * Time from the start of a VM in which requests wait for the configuration and the
-	 * endpoints. On a loaded fleet these were read 0.1 to 0.2 s after the listeners were
-	 * up.
+	 * Time from the start of a VM during which requests wait for the configuration and
+	 * the endpoints. On a loaded fleet these are read 0.1 to 0.2 s after the listeners
+	 * are up.
 	 */
-	private static final long START_WAIT_NANOS = 600_000_000L;
+	private static final long MAX_START_WAIT_NANOS = 600_000_000L;
 
 	private static final long START_POLL_NANOS = 20_000_000L;
 
 	/**
-	 * Longest wait for tokens of a team. A shorter one is no worse for a caller than
-	 * coming back, and well below every objective.
+	 * Maximum wait for tokens of a team. A wait up to this is no worse for a caller than
+	 * a retry, and is well below every objective.
 	 */
-	private static final long QUOTA_WAIT_NANOS = 150_000_000L;
+	private static final long MAX_QUOTA_WAIT_NANOS = 150_000_000L;
 
 	private final RouterServices services;
 
 	private final TeamQuotas quotas;
 
-	private final Departure departure;
+	private final GracefulShutdown shutdown;
 
-	private final Semaphore permits = new Semaphore(MAX_CALLS);
+	private final Semaphore permits = new Semaphore(MAX_CONCURRENT_REQUESTS);
 
-	private final long started = System.nanoTime();
+	private final long startNanos = System.nanoTime();
 
 	private final AtomicInteger running = new AtomicInteger();
 
 	private final Set<RouterCall> calls = ConcurrentHashMap.newKeySet();
 
-	RequestIntake(RouterServices services, TeamQuotas quotas, Departure departure) {
+	RequestIntake(RouterServices services, TeamQuotas quotas, GracefulShutdown shutdown) {
 		this.services = services;
 		this.quotas = quotas;
-		this.departure = departure;
+		this.shutdown = shutdown;
 	}
 
 	/**
-	 * Looks for callers that left and for time limits that passed.
+	 * Cancels calls whose caller has disconnected or whose time limit has passed.
 	 */
-	void checkCalls() {
+	void cancelEndedCalls() {
 		for (RouterCall call : this.calls) {
 			try {
-				call.check();
+				call.cancelIfEnded();
 			}
 			catch (RuntimeException ex) {
-				this.services.log().problem("checking request " + call.id() + " failed", ex);
+				this.services.log().problem("checking request " + call.id() + " for cancellation failed", ex);
 			}
 		}
 	}
@@ -101,19 +101,19 @@
 
 	@Override
 	public void handleRequest(HttpServerExchange exchange) {
-		long arrived = System.nanoTime();
+		long arrivalNanos = System.nanoTime();
 		if (isAmbiguous(exchange)) {
-			refuseEarly(exchange, RefusalException.malformed("ambiguous body length"));
+			rejectWithoutBody(exchange, RejectionException.malformed("ambiguous body length"));
 			return;
 		}
 		Catalog catalog = this.services.view().snapshot().catalog();
-		exchange.setMaxEntitySize((catalog != null) ? catalog.maxBodyBytes() : DEFAULT_MAX_BODY);
+		exchange.setMaxEntitySize((catalog != null) ? catalog.maxBodyBytes() : DEFAULT_MAX_BODY_BYTES);
 		exchange.getRequestReceiver()
-			.receiveFullBytes((whole, body) -> accept(whole, body, arrived), (broken, ex) -> unreadable(broken, ex));
+			.receiveFullBytes((read, body) -> accept(read, body, arrivalNanos), (broken, ex) -> failToRead(broken, ex));
 	}
 
-	// A request whose end two parsers could see at different places can smuggle another
-	// one past the router.
+	// A request whose end two parsers could find at different positions allows request
+	// smuggling.
 	private static boolean isAmbiguous(HttpServerExchange exchange) {
 		HeaderValues lengths = exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH);
 		HeaderValues codings = exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
@@ -122,34 +122,34 @@
 		return (lengths != null && (lengths.size() > 1 || codings != null)) || (codings != null && !chunked);
 	}
 
-	private void unreadable(HttpServerExchange exchange, IOException ex) {
+	private void failToRead(HttpServerExchange exchange, IOException ex) {
 		if (ex instanceof RequestTooBigException) {
-			refuseEarly(exchange, RefusalException.tooLarge());
+			rejectWithoutBody(exchange, RejectionException.tooLarge());
 			return;
 		}
 		IoUtils.safeClose(exchange.getConnection());
 	}
 
-	private void refuseEarly(HttpServerExchange exchange, RefusalException refusal) {
+	private void rejectWithoutBody(HttpServerExchange exchange, RejectionException rejection) {
 		exchange.setPersistent(false);
-		exchange.setStatusCode(refusal.status());
-		if (refusal.retryAfterSeconds() > 0) {
-			exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Double.toString(refusal.retryAfterSeconds()));
+		exchange.setStatusCode(rejection.status());
+		if (rejection.retryAfterSeconds() > 0) {
+			exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Double.toString(rejection.retryAfterSeconds()));
 		}
 		exchange.getResponseSender().send("");
 	}
 
-	private void accept(HttpServerExchange exchange, byte[] body, long arrived) {
+	private void accept(HttpServerExchange exchange, byte[] body, long arrivalNanos) {
 		if (!this.permits.tryAcquire()) {
-			RefusalException refusal = RefusalException.notRun("this VM is overloaded", SOON_SECONDS);
-			this.services.metrics().refused(refusal.status());
-			refuseEarly(exchange, refusal);
+			RejectionException rejection = RejectionException.notRun("this VM is overloaded", RETRY_AFTER_SECONDS);
+			this.services.metrics().refused(rejection.status());
+			rejectWithoutBody(exchange, rejection);
 			return;
 		}
 		this.running.incrementAndGet();
 		exchange.dispatch(() -> {
 			try {
-				serve(exchange, body, arrived);
+				serve(exchange, body, arrivalNanos);
 			}
 			finally {
 				this.running.decrementAndGet();
@@ -158,16 +158,16 @@
 		});
 	}
 
-	private void serve(HttpServerExchange exchange, byte[] body, long arrived) {
+	private void serve(HttpServerExchange exchange, byte[] body, long arrivalNanos) {
 		CallerConnection connection = new CallerConnection(exchange);
 		CallerFields fields = this.services.protocol()
 			.callerFields((name) -> exchange.getRequestHeaders().getFirst(name));
 		CallerResponse response = new CallerResponse(exchange, connection);
 		try {
-			route(exchange, connection, fields, body, arrived, response);
+			route(exchange, connection, fields, body, arrivalNanos, response);
 		}
-		catch (RefusalException ex) {
-			refuse(response, fields, ex, arrived);
+		catch (RejectionException ex) {
+			reject(response, fields, ex, arrivalNanos);
 		}
 		catch (IOException ex) {
 			this.services.log().request("caller gone", fields.attemptId(), "reason", String.valueOf(ex.getMessage()));
@@ -182,20 +182,21 @@
 		}
 	}
 
-	private void refuse(CallerResponse response, CallerFields fields, RefusalException refusal, long arrived) {
-		this.services.metrics().refused(refusal.status());
+	private void reject(CallerResponse response, CallerFields fields, RejectionException rejection, long arrivalNanos) {
+		this.services.metrics().refused(rejection.status());
 		this.services.log()
-			.request("refused", fields.attemptId(), "status", refusal.status(), "reason", refusal.getMessage(),
-					"retryAfter", refusal.retryAfterSeconds(), "ageMillis", (System.nanoTime() - arrived) / 1_000_000);
+			.request("refused", fields.attemptId(), "status", rejection.status(), "reason", rejection.getMessage(),
+					"retryAfter", rejection.retryAfterSeconds(), "ageMillis",
+					(System.nanoTime() - arrivalNanos) / 1_000_000);
 		if (response.isStarted()) {
 			response.abort();
 			return;
 		}
 		try {
-			if (this.departure.hasBegun()) {
-				response.closeAfterwards();
+			if (this.shutdown.hasBegun()) {
+				response.closeConnectionAfterResponse();
 			}
-			response.refuse(refusal);
+			response.reject(rejection);
 		}
 		catch (IOException ex) {
 			response.abort();
@@ -203,26 +204,26 @@
 	}
 
 	private void route(HttpServerExchange exchange, CallerConnection connection, CallerFields fields, byte[] body,
-			long arrived, CallerResponse response) throws RefusalException, IOException {
+			long arrivalNanos, CallerResponse response) throws RejectionException, IOException {
 		Catalog catalog = awaitCatalog();
 		ServedRoute route = catalog.route(host(exchange), exchange.getRequestURI());
 		if (route == null) {
-			throw RefusalException.noRoute();
+			throw RejectionException.noRoute();
 		}
 		TeamPolicy team = team(catalog, route, fields);
 		String name = route.service(ThreadLocalRandom.current().nextDouble());
 		ServedService service = catalog.service(name);
 		if (service == null) {
-			throw RefusalException.notRun("the service of the route is not configured", SOON_SECONDS);
+			throw RejectionException.notRun("the service of the route is not configured", RETRY_AFTER_SECONDS);
 		}
-		RouterCall call = new RouterCall(exchange, connection, fields, route, name, team, body, arrived, response);
-		if (!this.departure.mayTake(call.leftMillis())) {
-			throw RefusalException.notRun("this VM shuts down", SOON_SECONDS);
+		RouterCall call = new RouterCall(exchange, connection, fields, route, name, team, body, arrivalNanos, response);
+		if (!this.shutdown.accepts(call.remainingMillis())) {
+			throw RejectionException.notRun("this VM is shutting down", RETRY_AFTER_SECONDS);
 		}
-		if (this.departure.hasBegun()) {
-			call.response().closeAfterwards();
+		if (this.shutdown.hasBegun()) {
+			call.response().closeConnectionAfterResponse();
 		}
-		long tokens = takeQuota(team, fields);
+		long tokens = chargeQuota(team, fields);
 		this.services.countRequest(name);
 		this.services.log()
 			.request("accepted", call.id(), "route", route.name(), "service", name, "team", call.team(), "version",
@@ -230,15 +231,15 @@
 		this.calls.add(call);
 		try {
 			run(call, service);
-			this.services.metrics().answered(route.kind().name(), "answered", call.ageMillis());
+			this.services.metrics().completed(route.kind().name(), "answered", call.ageMillis());
 		}
-		catch (RefusalException ex) {
+		catch (RejectionException ex) {
 			if (ex.status() == 503 && team != null) {
-				this.quotas.giveBack(team, tokens);
+				this.quotas.refund(team, tokens);
 			}
-			this.services.metrics().answered(route.kind().name(), Integer.toString(ex.status()), call.ageMillis());
-			if (call.isCallerGone()) {
-				throw new IOException("the caller left after " + call.ageMillis() + " ms", ex);
+			this.services.metrics().completed(route.kind().name(), Integer.toString(ex.status()), call.ageMillis());
+			if (call.isCallerDisconnected()) {
+				throw new IOException("caller disconnected after " + call.ageMillis() + " ms", ex);
 			}
 			throw ex;
 		}
@@ -247,7 +248,7 @@
 		}
 	}
 
-	private void run(RouterCall call, ServedService service) throws RefusalException, IOException {
+	private void run(RouterCall call, ServedService service) throws RejectionException, IOException {
 		EngineTraits engine = service.engine();
 		if (engine != null) {
 			GenerationRun.create(this.services, call, engine).serve();
@@ -267,46 +268,46 @@
 	}
 
 	private static @Nullable TeamPolicy team(Catalog catalog, ServedRoute route, CallerFields fields)
-			throws RefusalException {
+			throws RejectionException {
 		if (!catalog.isKeyed() || route.anonymous()) {
 			return null;
 		}
 		TeamPolicy team = (fields.apiKey() != null) ? catalog.team(fields.apiKey()) : null;
 		if (team == null) {
-			throw RefusalException.unknownKey();
+			throw RejectionException.unknownKey();
 		}
 		return team;
 	}
 
-	private long takeQuota(@Nullable TeamPolicy team, CallerFields fields) throws RefusalException {
+	private long chargeQuota(@Nullable TeamPolicy team, CallerFields fields) throws RejectionException {
 		if (team == null) {
 			return 0;
 		}
 		long tokens = fields.hasTokens() ? fields.promptTokens() + fields.maxOutputTokens() : team.plainTokens();
-		long wait = this.quotas.take(team, tokens);
-		if (wait > 0 && wait <= QUOTA_WAIT_NANOS) {
-			LockSupport.parkNanos(wait);
-			wait = this.quotas.take(team, tokens);
+		long waitNanos = this.quotas.take(team, tokens);
+		if (waitNanos > 0 && waitNanos <= MAX_QUOTA_WAIT_NANOS) {
+			LockSupport.parkNanos(waitNanos);
+			waitNanos = this.quotas.take(team, tokens);
 		}
-		if (wait > 0) {
-			throw RefusalException.overLimit(Math.max(0.05, wait / 1e9));
+		if (waitNanos > 0) {
+			throw RejectionException.overTokenLimit(Math.max(0.05, waitNanos / 1e9));
 		}
 		return tokens;
 	}
 
-	// Callers that come while the process starts wait for the configuration and the
-	// endpoints, which are about to be read. A VM that has none for longer refuses at
-	// once.
-	private Catalog awaitCatalog() throws RefusalException {
+	// Requests that arrive while the process starts wait for the configuration and the
+	// endpoints, which are about to be read. A VM that has no configuration after this
+	// wait rejects requests at once.
+	private Catalog awaitCatalog() throws RejectionException {
 		FleetView view = this.services.view();
 		Catalog catalog = view.snapshot().catalog();
 		while ((catalog == null || view.version(FleetTable.ENDPOINTS) < 0)
-				&& System.nanoTime() - this.started < START_WAIT_NANOS) {
+				&& System.nanoTime() - this.startNanos < MAX_START_WAIT_NANOS) {
 			LockSupport.parkNanos(START_POLL_NANOS);
 			catalog = view.snapshot().catalog();
 		}
 		if (catalog == null) {
-			throw RefusalException.notRun("no configuration is known yet", SOON_SECONDS);
+			throw RejectionException.notRun("this VM has not read a configuration yet", RETRY_AFTER_SECONDS);
 		}
 		return catalog;
 	}
--- a/server/src/main/java/org/banyanstile/server/router/RequestProtocol.java
+++ b/server/src/main/java/org/banyanstile/server/router/RequestProtocol.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Names and formats of the header fields of callers and endpoints.
+ * Names and formats of the header fields that callers, the router and endpoints exchange.
  *
  * @author banyanstile contributors
  */
@@ -20,21 +20,21 @@
 	CallerFields callerFields(Function<String, @Nullable String> header);
 
 	/**
-	 * Returns whether a caller's header field goes on to the endpoint.
+	 * Returns whether a caller's header field is forwarded to the endpoint.
 	 * @param name name of the field
-	 * @return whether it does
+	 * @return whether it is
 	 */
 	boolean isPassedOn(String name);
 
 	/**
-	 * Returns whether an endpoint's header field goes back to the caller.
+	 * Returns whether an endpoint's header field is forwarded to the caller.
 	 * @param name name of the field
-	 * @return whether it does
+	 * @return whether it is
 	 */
 	boolean isPassedBack(String name);
 
 	/**
-	 * Writes what the router adds to a request.
+	 * Encodes the header fields that the router adds to a request.
 	 * @param fields the fields
 	 * @return header fields by name
 	 */
@@ -42,7 +42,7 @@
 
 	/**
 	 * Reads an endpoint's header fields.
-	 * @param status status of the answer
+	 * @param status status of the response
 	 * @param header returns the value of a field by name, {@code null} if it is absent
 	 * @return the fields
 	 */
--- a/server/src/main/java/org/banyanstile/server/router/RoleKeeper.java
+++ b/server/src/main/java/org/banyanstile/server/router/RoleController.java
@@ -28,23 +28,24 @@
 import org.banyanstile.server.view.TableSourceException;
 
 /**
- * Gives orders that change the parts of engines. Only the first living VM of the fleet
- * does, and only with the turn that the store confirms.
+ * Gives orders that change the roles of engines. Only the live VM with the lowest name
+ * does so, and only while the store confirms its ownership of role changes.
  *
  * @author banyanstile contributors
  */
-final class RoleKeeper implements AutoCloseable {
+final class RoleController implements AutoCloseable {
 
-	private static final long ROUND_MILLIS = 500;
+	private static final long INTERVAL_MILLIS = 500;
 
 	/**
 	 * Time for which the set of engines must not have changed. An engine that crashed is
-	 * usually back within some seconds, and an order costs six.
+	 * usually back within some seconds, whereas an order takes an engine out of service
+	 * for six.
 	 */
-	private static final long STABLE_NANOS = 3_000_000_000L;
+	private static final long MIN_STABLE_NANOS = 3_000_000_000L;
 
 	/**
-	 * Time beyond the change itself after which an order counts as not carried out.
+	 * Time beyond the duration of a role change after which an order counts as failed.
 	 */
 	private static final long ORDER_MARGIN_NANOS = 4_000_000_000L;
 
@@ -54,23 +55,23 @@
 
 	private final TableSource store;
 
-	private final EngineCalls engines;
+	private final EngineCalls engineCalls;
 
 	private final EndpointLoads loads;
 
-	private final PhaseChanges changes;
+	private final PhaseChanges roleChanges;
 
-	private final BooleanSupplier isOwner;
+	private final BooleanSupplier isEligible;
 
 	private final DecisionLog log;
 
-	private final OrderTurn turn;
+	private final OrderTurn ownership;
 
 	/**
-	 * Orders that this VM has given, whatever their outcome, so that none is repeated at
-	 * once.
+	 * Orders that this VM has given, whatever their outcome, by engine. An engine in this
+	 * map gets no further order, so a failed order is not retried at once.
 	 */
-	private final Map<String, Change> given = new HashMap<>();
+	private final Map<String, IssuedOrder> issuedOrders = new HashMap<>();
 
 	private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor((body) -> {
 		Thread thread = new Thread(body, "role-keeper");
@@ -78,35 +79,36 @@
 		return thread;
 	});
 
-	private Set<String> known = Set.of();
+	private Set<String> knownIds = Set.of();
 
-	private long knownSince;
+	private long knownIdsSinceNanos;
 
-	RoleKeeper(String vm, FleetView view, TableSource store, EngineCalls engines, EndpointLoads loads,
-			PhaseChanges changes, BooleanSupplier isOwner, DecisionLog log) {
+	RoleController(String vm, FleetView view, TableSource store, EngineCalls engineCalls, EndpointLoads loads,
+			PhaseChanges roleChanges, BooleanSupplier isEligible, DecisionLog log) {
 		this.vm = vm;
 		this.view = view;
 		this.store = store;
-		this.engines = engines;
+		this.engineCalls = engineCalls;
 		this.loads = loads;
-		this.changes = changes;
-		this.isOwner = isOwner;
+		this.roleChanges = roleChanges;
+		this.isEligible = isEligible;
 		this.log = log;
-		this.turn = OrderTurn.of(vm);
+		this.ownership = OrderTurn.of(vm);
 	}
 
 	void start() {
-		var unused = this.timer.scheduleWithFixedDelay(this::round, ROUND_MILLIS, ROUND_MILLIS, TimeUnit.MILLISECONDS);
+		var unused = this.timer.scheduleWithFixedDelay(this::balanceAll, INTERVAL_MILLIS, INTERVAL_MILLIS,
+				TimeUnit.MILLISECONDS);
 	}
 
-	private void round() {
+	private void balanceAll() {
 		try {
 			Catalog catalog = this.view.snapshot().catalog();
 			long now = System.nanoTime();
-			if (catalog == null || !this.isOwner.getAsBoolean() || !isStable(now)) {
+			if (catalog == null || !this.isEligible.getAsBoolean() || !isStable(now)) {
 				return;
 			}
-			expire(now);
+			removeExpiredOrders(now);
 			for (ServedService service : catalog.services()) {
 				EngineTraits traits = service.engine();
 				if (traits != null && traits.roleChangeMillis() > 0) {
@@ -115,31 +117,31 @@
 			}
 		}
 		catch (TableSourceException ex) {
-			this.turn.lost();
-			this.log.problem("the turn to give orders is not confirmed", ex);
+			this.ownership.lost();
+			this.log.problem("the store did not confirm ownership of role changes", ex);
 		}
 		catch (RuntimeException ex) {
-			this.log.problem("balancing the parts of engines failed", ex);
+			this.log.problem("balancing the roles of engines failed", ex);
 		}
 	}
 
 	private boolean isStable(long now) {
 		Set<String> ids = new HashSet<>(this.view.snapshot().all().keySet());
-		if (!ids.equals(this.known)) {
-			this.known = ids;
-			this.knownSince = now;
+		if (!ids.equals(this.knownIds)) {
+			this.knownIds = ids;
+			this.knownIdsSinceNanos = now;
 		}
-		return now - this.knownSince >= STABLE_NANOS;
+		return now - this.knownIdsSinceNanos >= MIN_STABLE_NANOS;
 	}
 
-	private void expire(long now) {
+	private void removeExpiredOrders(long now) {
 		FleetSnapshot snapshot = this.view.snapshot();
-		Iterator<Map.Entry<String, Change>> all = this.given.entrySet().iterator();
-		while (all.hasNext()) {
-			Map.Entry<String, Change> entry = all.next();
+		Iterator<Map.Entry<String, IssuedOrder>> entries = this.issuedOrders.entrySet().iterator();
+		while (entries.hasNext()) {
+			Map.Entry<String, IssuedOrder> entry = entries.next();
 			RegisteredEndpoint engine = snapshot.all().get(entry.getKey());
-			if (engine == null || now > entry.getValue().until()) {
-				all.remove();
+			if (engine == null || now > entry.getValue().expiresAtNanos()) {
+				entries.remove();
 			}
 		}
 	}
@@ -152,10 +154,10 @@
 			.filter((engine) -> engine.phase() != EndpointPhase.PLAIN)
 			.toList();
 		Map<String, EndpointPhase> pending = new HashMap<>();
-		this.changes.pending(System.nanoTime()).forEach((change) -> pending.put(change.endpoint(), change.phase()));
-		this.given.forEach((id, change) -> pending.put(id, change.phase()));
+		this.roleChanges.pending(System.nanoTime()).forEach((change) -> pending.put(change.endpoint(), change.phase()));
+		this.issuedOrders.forEach((id, order) -> pending.put(id, order.role()));
 		List<RoleBalance.RoleChange> plan = RoleBalance.plan(all, pending, (id) -> this.loads.total(id).tokens());
-		if (plan.isEmpty() || !confirmTurn()) {
+		if (plan.isEmpty() || !confirmOwnership()) {
 			return;
 		}
 		for (RoleBalance.RoleChange change : plan) {
@@ -164,23 +166,23 @@
 	}
 
 	/**
-	 * Confirms the turn at the store.
+	 * Confirms the ownership of role changes at the store.
 	 * @return whether this VM may give orders now
-	 * @throws TableSourceException if the store did not answer
+	 * @throws TableSourceException if the store did not respond
 	 */
-	private boolean confirmTurn() throws TableSourceException {
+	private boolean confirmOwnership() throws TableSourceException {
 		OrderRow row = this.store.orderRow();
-		this.turn.read(row.version(), row.owner(), System.nanoTime());
-		if (!this.turn.mayWrite(System.nanoTime())) {
+		this.ownership.read(row.version(), row.owner(), System.nanoTime());
+		if (!this.ownership.mayWrite(System.nanoTime())) {
 			return false;
 		}
-		long began = System.nanoTime();
-		long version = this.store.writeOrderRow(this.vm, this.turn.expectedVersion());
+		long startNanos = System.nanoTime();
+		long version = this.store.writeOrderRow(this.vm, this.ownership.expectedVersion());
 		if (version < 0) {
-			this.turn.lost();
+			this.ownership.lost();
 			return false;
 		}
-		this.turn.written(version, began);
+		this.ownership.written(version, startNanos);
 		this.log.belief("turn to give orders", "fencingToken", version, "previousOwner", row.owner());
 		return true;
 	}
@@ -188,25 +190,25 @@
 	private void order(RoleBalance.RoleChange change, EngineTraits traits) {
 		RegisteredEndpoint engine = change.engine();
 		long now = System.nanoTime();
-		long token = this.turn.token(now);
+		long token = this.ownership.token(now);
 		if (token < 0) {
 			return;
 		}
-		long until = now + TimeUnit.MILLISECONDS.toNanos(traits.roleChangeMillis()) + ORDER_MARGIN_NANOS;
-		this.given.put(engine.id(), new Change(change.phase(), until));
+		long expiresAtNanos = now + TimeUnit.MILLISECONDS.toNanos(traits.roleChangeMillis()) + ORDER_MARGIN_NANOS;
+		this.issuedOrders.put(engine.id(), new IssuedOrder(change.phase(), expiresAtNanos));
 		try {
-			EngineCalls.OrderOutcome outcome = this.engines.changePhase(engine, change.phase(), this.vm, token);
+			EngineCalls.OrderOutcome outcome = this.engineCalls.changePhase(engine, change.phase(), this.vm, token);
 			this.log.belief("order", "engine", engine.id(), "phase", change.phase(), "fencingToken", token, "outcome",
 					outcome);
 			if (outcome == EngineCalls.OrderOutcome.ACCEPTED) {
-				this.changes.begin(engine.id(), change.phase(), until);
+				this.roleChanges.begin(engine.id(), change.phase(), expiresAtNanos);
 			}
 			if (outcome == EngineCalls.OrderOutcome.FENCED) {
-				this.turn.lost();
+				this.ownership.lost();
 			}
 		}
 		catch (HttpException ex) {
-			this.log.problem("an order to " + engine.id() + " has no answer", ex);
+			this.log.problem("engine " + engine.id() + " did not respond to a role-change order", ex);
 		}
 	}
 
@@ -216,13 +218,13 @@
 	}
 
 	/**
-	 * An order that is carried out.
+	 * Order that was given to an engine.
 	 *
-	 * @param phase the new part
-	 * @param until time in nanoseconds after which it counts as lost
+	 * @param role the new role
+	 * @param expiresAtNanos time in nanoseconds after which it counts as failed
 	 * @author banyanstile contributors
 	 */
-	private record Change(EndpointPhase phase, long until) {
+	private record IssuedOrder(EndpointPhase role, long expiresAtNanos) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/Router.java
+++ b/server/src/main/java/org/banyanstile/server/router/Router.java
@@ -34,24 +34,24 @@
 import org.banyanstile.server.view.TableSource;
 
 /**
- * The daemon of a VM whose endpoints register themselves with the platform: view of the
- * fleet, exchange with other VMs and request path.
+ * Router process of a VM whose endpoints register themselves with the platform: copy of
+ * the fleet's tables, gossip with other VMs and request path.
  *
  * @author banyanstile contributors
  */
 public final class Router implements AutoCloseable {
 
 	/**
-	 * Idle time after which connections to endpoints are closed. Endpoints accept few
-	 * connections from all VMs together.
+	 * Idle time after which connections to endpoints are closed, since an endpoint
+	 * accepts only a few connections from all VMs together.
 	 */
-	private static final Duration MAX_IDLE = Duration.ofSeconds(2);
+	private static final Duration MAX_CONNECTION_IDLE = Duration.ofSeconds(2);
 
 	private final RouterServices services;
 
 	private final TeamQuotas quotas;
 
-	private final Departure departure;
+	private final GracefulShutdown shutdown;
 
 	private final DecisionLog log;
 
@@ -65,35 +65,35 @@
 
 	private final RouterServer server;
 
-	private final RoleKeeper keeper;
+	private final RoleController roleController;
 
 	private final HttpClient client;
 
-	private Router(RouterServices services, TeamQuotas quotas, Departure departure, DecisionLog log, FleetReader reader,
-			VmRegistration registration, GossipNode gossip, RequestIntake intake, RouterServer server,
-			RoleKeeper keeper, HttpClient client) {
+	private Router(RouterServices services, TeamQuotas quotas, GracefulShutdown shutdown, DecisionLog log,
+			FleetReader reader, VmRegistration registration, GossipNode gossip, RequestIntake intake,
+			RouterServer server, RoleController roleController, HttpClient client) {
 		this.services = services;
 		this.quotas = quotas;
-		this.departure = departure;
+		this.shutdown = shutdown;
 		this.log = log;
 		this.reader = reader;
 		this.registration = registration;
 		this.gossip = gossip;
 		this.intake = intake;
 		this.server = server;
-		this.keeper = keeper;
+		this.roleController = roleController;
 		this.client = client;
 	}
 
 	/**
-	 * Starts the daemon.
-	 * @param settings figures of the deployment
+	 * Starts the router.
+	 * @param settings deployment settings
 	 * @param addresses addresses to listen at
-	 * @param peerAddress address for datagrams of other VMs
+	 * @param peerAddress address for datagrams from other VMs
 	 * @param seeds addresses of some other VMs
 	 * @param platform what the platform provides
 	 * @param log log of decisions
-	 * @return the daemon
+	 * @return the router
 	 * @throws IOException if an address cannot be bound
 	 */
 	public static Router start(RouterSettings settings, RouterAddresses addresses, InetSocketAddress peerAddress,
@@ -107,32 +107,32 @@
 		EndpointHealth health = new EndpointHealth();
 		VmRegistration registration = VmRegistration.create(platform.source(), membership, ticker, log);
 		TeamQuotas quotas = new TeamQuotas(ticker, settings.limitTolerance(), registration::others);
-		Departure departure = Departure.within(settings.shutdown(), ticker);
-		PhaseChanges changes = new PhaseChanges();
-		State state = new State(view, loads, quotas, changes, departure, ticker);
+		GracefulShutdown shutdown = GracefulShutdown.of(settings.shutdown(), ticker);
+		PhaseChanges roleChanges = new PhaseChanges();
+		LocalGossipState localState = new LocalGossipState(view, loads, quotas, roleChanges, shutdown, ticker);
 		PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-		RouterServices services = new RouterServices(settings, view, changes, platform.requests(), platform.engines(),
-				loads, health, EndpointPicker.create(loads, health, new Random()),
+		RouterServices services = new RouterServices(settings, view, roleChanges, platform.requests(),
+				platform.engines(), loads, health, EndpointPicker.create(loads, health, new Random()),
 				new EndpointClient(platform.client(), platform.requests(), health),
 				() -> registration.others().size() + 1, log, registry);
-		RequestIntake intake = new RequestIntake(services, quotas, departure);
+		RequestIntake intake = new RequestIntake(services, quotas, shutdown);
 		RouterServer server = new RouterServer(services, intake, platform.directory(),
-				() -> addresses(membership, departure, ticker), departure);
+				() -> callerAddresses(membership, shutdown, ticker), shutdown);
 		server.start(addresses, registry::scrape);
-		GossipNode gossip = GossipNode.start(peerAddress, membership, view, state, ticker, log);
+		GossipNode gossip = GossipNode.start(peerAddress, membership, view, localState, ticker, log);
 		gossip.setSeeds(seeds);
 		FleetReader reader = FleetReader.create(platform.source(), view, () -> membership.rank(ticker.nanos()), log);
 		reader.start();
 		registration.start(gossip::setRegistered);
-		server.every(Duration.ofSeconds(1), () -> {
-			platform.client().closeIdle(MAX_IDLE);
-			services.metrics().usable(view.snapshot().usable());
+		server.schedule(Duration.ofSeconds(1), () -> {
+			platform.client().closeIdle(MAX_CONNECTION_IDLE);
+			services.metrics().setUsableEndpoints(view.snapshot().usable());
 		});
-		RoleKeeper keeper = new RoleKeeper(settings.vm(), view, platform.source(), platform.engines(), loads, changes,
-				() -> membership.rank(ticker.nanos()) == 0 && !departure.hasBegun(), log);
-		keeper.start();
+		RoleController roleController = new RoleController(settings.vm(), view, platform.source(), platform.engines(),
+				loads, roleChanges, () -> membership.rank(ticker.nanos()) == 0 && !shutdown.hasBegun(), log);
+		roleController.start();
 		log.lifecycle("started", "vm", settings.vm(), "callers", text(addresses.callers()));
-		return new Router(services, quotas, departure, log, reader, registration, gossip, intake, server, keeper,
+		return new Router(services, quotas, shutdown, log, reader, registration, gossip, intake, server, roleController,
 				platform.client());
 	}
 
@@ -140,11 +140,11 @@
 		return address.getHostString() + ':' + address.getPort();
 	}
 
-	// Names the living VMs that take requests, and this VM if there is none, since an
-	// empty answer helps no caller.
-	private static List<String> addresses(Membership membership, Departure departure, Ticker ticker) {
+	// Returns the live VMs that serve requests, or this VM if there is none, since
+	// callers cannot use an empty response.
+	private static List<String> callerAddresses(Membership membership, GracefulShutdown shutdown, Ticker ticker) {
 		List<String> addresses = new ArrayList<>();
-		if (!departure.hasBegun()) {
+		if (!shutdown.hasBegun()) {
 			addresses.add(membership.self().callerAddress());
 		}
 		for (GossipMember member : membership.alivePeers(ticker.nanos())) {
@@ -156,30 +156,30 @@
 	}
 
 	/**
-	 * Applies other figures while the daemon runs.
-	 * @param settings the figures
+	 * Applies new settings while the router runs.
+	 * @param settings the settings
 	 */
 	public void apply(RouterSettings settings) {
 		this.services.apply(settings);
 		this.quotas.setTolerance(settings.limitTolerance());
-		this.departure.setShutdown(settings.shutdown());
+		this.shutdown.setShutdown(settings.shutdown());
 	}
 
 	/**
-	 * Shuts down: leaves the directory at once, serves callers who kept its older answer
-	 * for some time, and finishes running requests.
+	 * Shuts down: withdraws from the directory at once, serves callers with a cached
+	 * directory response for some time, and completes running requests.
 	 */
 	@Override
 	public void close() {
-		this.departure.begin();
+		this.shutdown.begin();
 		this.gossip.announce();
 		this.log.lifecycle("stopping", "running", this.intake.running());
 		boolean interrupted = false;
-		while (!interrupted && !this.departure.isOver(this.intake.running())) {
+		while (!interrupted && !this.shutdown.mayExit(this.intake.running())) {
 			interrupted = !pause();
 		}
 		this.log.lifecycle("stopped", "running", this.intake.running());
-		this.keeper.close();
+		this.roleController.close();
 		this.reader.close();
 		this.registration.close();
 		this.server.close();
@@ -199,14 +199,14 @@
 	}
 
 	/**
-	 * What the platform provides.
+	 * Adapters to the platform.
 	 *
-	 * @param source reads the store
-	 * @param decoder decodes its rows
-	 * @param requests header fields of requests
+	 * @param source access to the store
+	 * @param decoder decoder of the store's rows
+	 * @param requests header fields of requests and responses
 	 * @param engines calls to engines
-	 * @param directory directory and readiness
-	 * @param client client for endpoints
+	 * @param directory protocol of the directory and the readiness check
+	 * @param client HTTP client for endpoints
 	 * @author banyanstile contributors
 	 */
 	public record Platform(TableSource source, RowDecoder decoder, RequestProtocol requests, EngineCalls engines,
@@ -215,11 +215,11 @@
 	}
 
 	/**
-	 * State of this VM that other VMs learn.
+	 * State that this VM exchanges with other VMs by gossip.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private static final class State implements GossipNode.LocalState {
+	private static final class LocalGossipState implements GossipNode.LocalState {
 
 		private final FleetView view;
 
@@ -227,25 +227,25 @@
 
 		private final TeamQuotas quotas;
 
-		private final PhaseChanges changes;
+		private final PhaseChanges roleChanges;
 
-		private final Departure departure;
+		private final GracefulShutdown shutdown;
 
 		private final Ticker ticker;
 
-		private State(FleetView view, EndpointLoads loads, TeamQuotas quotas, PhaseChanges changes, Departure departure,
-				Ticker ticker) {
+		private LocalGossipState(FleetView view, EndpointLoads loads, TeamQuotas quotas, PhaseChanges roleChanges,
+				GracefulShutdown shutdown, Ticker ticker) {
 			this.view = view;
 			this.loads = loads;
 			this.quotas = quotas;
-			this.changes = changes;
-			this.departure = departure;
+			this.roleChanges = roleChanges;
+			this.shutdown = shutdown;
 			this.ticker = ticker;
 		}
 
 		@Override
 		public MemberState memberState() {
-			if (this.departure.hasBegun()) {
+			if (this.shutdown.hasBegun()) {
 				return MemberState.LEAVING;
 			}
 			Catalog catalog = this.view.snapshot().catalog();
@@ -271,7 +271,7 @@
 
 		@Override
 		public List<GossipChange> changes() {
-			return this.changes.pending(this.ticker.nanos())
+			return this.roleChanges.pending(this.ticker.nanos())
 				.stream()
 				.map((change) -> new GossipChange(change.endpoint(), change.phase().ordinal(), change.leftMillis()))
 				.toList();
@@ -279,18 +279,18 @@
 
 		@Override
 		public void received(GossipState state) {
-			List<EndpointLoads.Load> reported = state.loads()
+			List<EndpointLoads.Load> reportedLoads = state.loads()
 				.stream()
 				.map((load) -> new EndpointLoads.Load(load.endpoint(), load.requests(), load.tokens()))
 				.toList();
-			this.loads.report(state.self().vm(), reported, this.ticker.nanos());
+			this.loads.report(state.self().vm(), reportedLoads, this.ticker.nanos());
 			this.quotas.report(state.self(), state.uses());
-			List<PhaseChanges.Report> known = state.changes()
+			List<PhaseChanges.Report> reportedChanges = state.changes()
 				.stream()
 				.map((change) -> new PhaseChanges.Report(change.endpoint(), EndpointPhase.values()[change.phase()],
 						change.leftMillis()))
 				.toList();
-			this.changes.report(known, this.ticker.nanos());
+			this.roleChanges.report(reportedChanges, this.ticker.nanos());
 		}
 
 	}
--- a/server/src/main/java/org/banyanstile/server/router/RouterAddresses.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterAddresses.java
@@ -7,10 +7,10 @@
 /**
  * Addresses that a VM listens at.
  *
- * @param callers for callers
- * @param readiness for the readiness check
- * @param directory for callers that ask which VM to use
- * @param metrics for metrics, {@code null} for none
+ * @param callers address for callers
+ * @param readiness address for the readiness check
+ * @param directory address at which callers query the directory of VMs
+ * @param metrics address for metrics, {@code null} for none
  * @author banyanstile contributors
  */
 public record RouterAddresses(InetSocketAddress callers, InetSocketAddress readiness, InetSocketAddress directory,
--- a/server/src/main/java/org/banyanstile/server/router/RouterCall.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterCall.java
@@ -14,25 +14,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request of a caller while it is served.
+ * Request of a caller that is being served.
  *
  * @author banyanstile contributors
  */
 final class RouterCall {
 
 	/**
-	 * Part of a route's time limit below which a caller's deadline is that of a later
-	 * attempt. First attempts leave at least four fifths of it.
+	 * A caller's deadline below this fraction of the route's time limit is that of a
+	 * retry by the caller. The deadline of a first attempt is at least four fifths of the
+	 * time limit.
 	 */
-	private static final double RETURNING_PART = 0.8;
+	private static final double FIRST_ATTEMPT_DEADLINE_RATIO = 0.8;
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/**
-	 * Longest wait for a connection to an endpoint. Endpoints are at most some
-	 * milliseconds away, so one that does not accept by then is down or cut off.
+	 * Network latency to endpoints is a few milliseconds at most, so an endpoint that
+	 * does not accept a connection within this time is down or unreachable.
 	 */
-	private static final long CONNECT_MILLIS = 400;
+	private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
 	private final HttpServerExchange exchange;
 
@@ -48,18 +49,18 @@
 
 	private final byte[] body;
 
-	private final long arrived;
+	private final long arrivalNanos;
 
-	private final CallHandle handle = new CallHandle();
+	private final CallHandle callHandle = new CallHandle();
 
 	private final CallerResponse response;
 
-	private volatile boolean callerGone;
+	private volatile boolean callerDisconnected;
 
 	private volatile boolean timedOut;
 
 	RouterCall(HttpServerExchange exchange, CallerConnection connection, CallerFields fields, ServedRoute route,
-			String service, @Nullable TeamPolicy team, byte[] body, long arrived, CallerResponse response) {
+			String service, @Nullable TeamPolicy team, byte[] body, long arrivalNanos, CallerResponse response) {
 		this.exchange = exchange;
 		this.connection = connection;
 		this.fields = fields;
@@ -67,7 +68,7 @@
 		this.service = service;
 		this.team = team;
 		this.body = body;
-		this.arrived = arrived;
+		this.arrivalNanos = arrivalNanos;
 		this.response = response;
 	}
 
@@ -94,12 +95,12 @@
 	}
 
 	int priority() {
-		boolean own = this.team != null && this.team.priority() != TeamPolicy.NO_PRIORITY;
-		return (own && this.team != null) ? this.team.priority() : this.route.priority();
+		boolean teamPriority = this.team != null && this.team.priority() != TeamPolicy.NO_PRIORITY;
+		return (teamPriority && this.team != null) ? this.team.priority() : this.route.priority();
 	}
 
-	CallHandle handle() {
-		return this.handle;
+	CallHandle callHandle() {
+		return this.callHandle;
 	}
 
 	CallerResponse response() {
@@ -107,77 +108,78 @@
 	}
 
 	/**
-	 * Returns how long the request has been here.
+	 * Returns the time since the request arrived.
 	 * @return the time in milliseconds
 	 */
 	long ageMillis() {
-		return (System.nanoTime() - this.arrived) / NANOS_PER_MILLI;
+		return (System.nanoTime() - this.arrivalNanos) / NANOS_PER_MILLI;
 	}
 
 	/**
-	 * Returns the time that is left until the caller's deadline or the route's time
-	 * limit.
+	 * Returns the time that remains until the caller's deadline or the route's time
+	 * limit, whichever comes first.
 	 * @return the time in milliseconds, not below 0
 	 */
-	long leftMillis() {
-		return Math.max(0, limitMillis() - ageMillis());
+	long remainingMillis() {
+		return Math.max(0, timeoutMillis() - ageMillis());
 	}
 
 	/**
-	 * Returns whether the caller has used up so much of its time that this is a later
-	 * attempt, whose objective has passed.
+	 * Returns whether the caller's deadline is so short that this is a retry by the
+	 * caller, for which the objective has already passed.
 	 * @return whether it is
 	 */
-	boolean isReturning() {
+	boolean isCallerRetry() {
 		long deadline = this.fields.deadlineMillis();
-		return deadline >= 0 && deadline < RETURNING_PART * this.route.timeoutMillis();
+		return deadline >= 0 && deadline < FIRST_ATTEMPT_DEADLINE_RATIO * this.route.timeoutMillis();
 	}
 
-	long limitMillis() {
-		long limit = this.route.timeoutMillis();
-		return (this.fields.deadlineMillis() >= 0) ? Math.min(limit, this.fields.deadlineMillis()) : limit;
+	long timeoutMillis() {
+		long timeout = this.route.timeoutMillis();
+		return (this.fields.deadlineMillis() >= 0) ? Math.min(timeout, this.fields.deadlineMillis()) : timeout;
 	}
 
 	/**
-	 * Returns how long an endpoint may work. The caller's deadline counts, and the
-	 * route's time limit where the caller gave none.
+	 * Returns how long an endpoint may work on the request: until the caller's deadline
+	 * or the route's time limit, whichever comes first.
 	 * @return the time in milliseconds, at least 1
 	 */
-	long endpointMillis() {
-		return Math.max(1, leftMillis());
+	long endpointTimeoutMillis() {
+		return Math.max(1, remainingMillis());
 	}
 
 	/**
-	 * Ends the call if its caller has gone or its time is over. Called by the watch.
+	 * Cancels the call if its caller has disconnected or its time limit has passed.
+	 * Called periodically.
 	 */
-	void check() {
+	void cancelIfEnded() {
 		if (this.connection.isClosed()) {
-			this.callerGone = true;
-			this.handle.cancel();
+			this.callerDisconnected = true;
+			this.callHandle.cancel();
 		}
-		else if (leftMillis() == 0) {
+		else if (remainingMillis() == 0) {
 			this.timedOut = true;
-			this.handle.cancel();
+			this.callHandle.cancel();
 		}
 	}
 
-	boolean isCallerGone() {
-		return this.callerGone;
+	boolean isCallerDisconnected() {
+		return this.callerDisconnected;
 	}
 
-	boolean isOver() {
-		return this.callerGone || this.timedOut || leftMillis() == 0;
+	boolean isCancelledOrTimedOut() {
+		return this.callerDisconnected || this.timedOut || remainingMillis() == 0;
 	}
 
 	/**
-	 * Creates the request to an endpoint: method, target, body and header fields as the
-	 * caller sent them, and what the router adds.
+	 * Creates the request to an endpoint from the caller's method, target, body and
+	 * forwarded header fields, and the fields that the router adds.
 	 * @param address address of the endpoint
 	 * @param protocol names of the header fields
-	 * @param added what the router adds
+	 * @param fields fields that the router adds
 	 * @return the request
 	 */
-	HttpRequest request(String address, RequestProtocol protocol, EndpointFields added) {
+	HttpRequest request(String address, RequestProtocol protocol, EndpointFields fields) {
 		Map<String, String> headers = new LinkedHashMap<>();
 		for (HeaderValues values : this.exchange.getRequestHeaders()) {
 			String name = values.getHeaderName().toString();
@@ -185,11 +187,11 @@
 				headers.put(name, String.join(", ", values));
 			}
 		}
-		headers.putAll(protocol.endpointFields(added));
+		headers.putAll(protocol.endpointFields(fields));
 		return new HttpRequest(this.exchange.getRequestMethod().toString(), address, target(this.exchange), headers,
-				this.body, Duration.ofMillis(endpointMillis()),
-				Duration.ofMillis(Math.min(CONNECT_MILLIS, endpointMillis())), HttpRequest.DEFAULT_MAX_IDLE,
-				"requests");
+				this.body, Duration.ofMillis(endpointTimeoutMillis()),
+				Duration.ofMillis(Math.min(CONNECT_TIMEOUT_MILLIS, endpointTimeoutMillis())),
+				HttpRequest.DEFAULT_MAX_IDLE, "requests");
 	}
 
 	/**
--- a/server/src/main/java/org/banyanstile/server/router/RouterMetrics.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterMetrics.java
@@ -32,15 +32,15 @@
 	}
 
 	/**
-	 * Sets how many endpoints may get new work.
+	 * Sets the number of endpoints that may get new requests.
 	 * @param usable the endpoints by service
 	 */
-	void usable(Map<String, List<RegisteredEndpoint>> usable) {
+	void setUsableEndpoints(Map<String, List<RegisteredEndpoint>> usable) {
 		List<MultiGauge.Row<?>> rows = new ArrayList<>();
 		usable.forEach((service, endpoints) -> {
-			for (EndpointPhase phase : EndpointPhase.values()) {
-				long count = endpoints.stream().filter((endpoint) -> endpoint.phase() == phase).count();
-				rows.add(MultiGauge.Row.of(Tags.of("service", service, "phase", phase.name().toLowerCase(Locale.ROOT)),
+			for (EndpointPhase role : EndpointPhase.values()) {
+				long count = endpoints.stream().filter((endpoint) -> endpoint.phase() == role).count();
+				rows.add(MultiGauge.Row.of(Tags.of("service", service, "phase", role.name().toLowerCase(Locale.ROOT)),
 						count));
 			}
 		});
@@ -48,21 +48,21 @@
 	}
 
 	/**
-	 * Counts the log lines that went beyond their budget.
+	 * Registers the counter of suppressed log lines.
 	 * @param log the log
 	 */
-	void watch(DecisionLog log) {
-		FunctionCounter.builder("banyanstile_log_lines_left_out_total", log, DecisionLog::leftOut)
+	void bindSuppressedLines(DecisionLog log) {
+		FunctionCounter.builder("banyanstile_log_lines_left_out_total", log, DecisionLog::suppressedLines)
 			.register(this.registry);
 	}
 
 	/**
-	 * Counts an answer and its latency.
+	 * Records the outcome of a request and its latency.
 	 * @param kind kind of the route
-	 * @param outcome status class, or why there was no answer
+	 * @param outcome {@code answered}, or the status of the rejection
 	 * @param millis time from the arrival of the request
 	 */
-	void answered(String kind, String outcome, long millis) {
+	void completed(String kind, String outcome, long millis) {
 		Timer.builder("banyanstile_request_seconds")
 			.tag("kind", kind)
 			.tag("outcome", outcome)
@@ -73,7 +73,7 @@
 			.record(millis, TimeUnit.MILLISECONDS);
 	}
 
-	void firstByte(String kind, long millis) {
+	void firstEvent(String kind, long millis) {
 		Timer.builder("banyanstile_first_event_seconds")
 			.tag("kind", kind)
 			.serviceLevelObjectives(Duration.ofMillis(300), Duration.ofMillis(450), Duration.ofMillis(900),
@@ -82,12 +82,13 @@
 			.record(millis, TimeUnit.MILLISECONDS);
 	}
 
-	// Reasons name endpoints, so they would make a counter each.
+	// Not labelled with the reason, which may contain the id of an endpoint and would
+	// create a time series for each.
 	void refused(int status) {
 		this.registry.counter("banyanstile_refusals_total", "status", Integer.toString(status)).increment();
 	}
 
-	void repeat(boolean allowed) {
+	void retry(boolean allowed) {
 		this.registry.counter("banyanstile_repeats_total", "allowed", Boolean.toString(allowed)).increment();
 	}
 
@@ -99,8 +100,8 @@
 		this.registry.counter("banyanstile_wasted_prompt_tokens_total").increment(tokens);
 	}
 
-	void outcome(String what) {
-		this.registry.counter("banyanstile_endpoint_outcomes_total", "outcome", what).increment();
+	void attemptOutcome(String outcome) {
+		this.registry.counter("banyanstile_endpoint_outcomes_total", "outcome", outcome).increment();
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/RouterServer.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterServer.java
@@ -20,7 +20,7 @@
 import org.xnio.Options;
 
 /**
- * Listens for callers, readiness checks, directory requests and metrics.
+ * HTTP server for callers, readiness checks, directory requests and metrics.
  *
  * @author banyanstile contributors
  */
@@ -31,25 +31,25 @@
 	private static final int HEADER_TIMEOUT_MILLIS = 15_000;
 
 	/**
-	 * Idle time after which a caller's connection is closed, above what any configuration
-	 * lets callers count on.
+	 * Idle time after which a caller's connection is closed, longer than any
+	 * configuration lets callers rely on.
 	 */
 	private static final int IDLE_TIMEOUT_MILLIS = 120_000;
 
 	/**
-	 * Interval at which running requests are checked for callers that left and for time
-	 * limits.
+	 * Interval at which running requests are checked for disconnected callers and expired
+	 * time limits.
 	 */
-	private static final long WATCH_MILLIS = 50;
+	private static final long CANCEL_CHECK_INTERVAL_MILLIS = 50;
 
 	/**
-	 * How long binding is tried, some times what a process takes to end.
+	 * Several times what an earlier process takes to exit.
 	 */
-	private static final long BIND_NANOS = 5_000_000_000L;
+	private static final long BIND_TIMEOUT_NANOS = 5_000_000_000L;
 
 	private static final long BIND_PAUSE_NANOS = 100_000_000;
 
-	private static final Duration DIRECTORY_LIFE = Duration.ofSeconds(2);
+	private static final Duration DIRECTORY_TTL = Duration.ofSeconds(2);
 
 	private final RouterServices services;
 
@@ -57,11 +57,11 @@
 
 	private final DirectoryProtocol directory;
 
-	private final Supplier<List<String>> members;
+	private final Supplier<List<String>> callerAddresses;
 
-	private final Departure departure;
+	private final GracefulShutdown shutdown;
 
-	private final ScheduledExecutorService watch = Executors.newSingleThreadScheduledExecutor((body) -> {
+	private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor((body) -> {
 		Thread thread = new Thread(body, "call-watch");
 		thread.setDaemon(true);
 		return thread;
@@ -70,22 +70,22 @@
 	private @Nullable Undertow server;
 
 	RouterServer(RouterServices services, RequestIntake intake, DirectoryProtocol directory,
-			Supplier<List<String>> members, Departure departure) {
+			Supplier<List<String>> callerAddresses, GracefulShutdown shutdown) {
 		this.services = services;
 		this.intake = intake;
 		this.directory = directory;
-		this.members = members;
-		this.departure = departure;
+		this.callerAddresses = callerAddresses;
+		this.shutdown = shutdown;
 	}
 
 	/**
-	 * Binds all addresses. An earlier process of this VM may hold them for a moment
-	 * longer.
+	 * Binds all addresses. Binding is retried while an earlier process of this VM still
+	 * uses them.
 	 * @param addresses addresses to listen at
 	 * @param metrics source of the metrics
 	 */
 	void start(RouterAddresses addresses, Supplier<String> metrics) {
-		long end = System.nanoTime() + BIND_NANOS;
+		long deadline = System.nanoTime() + BIND_TIMEOUT_NANOS;
 		while (this.server == null) {
 			Undertow built = build(addresses, metrics);
 			try {
@@ -94,19 +94,19 @@
 			}
 			catch (RuntimeException ex) {
 				built.stop();
-				if (!(ex.getCause() instanceof BindException) || System.nanoTime() > end) {
+				if (!(ex.getCause() instanceof BindException) || System.nanoTime() > deadline) {
 					throw ex;
 				}
-				this.services.log().problem("an address is still in use, binding is tried again", ex);
+				this.services.log().problem("address is still in use; retrying to bind", ex);
 				LockSupport.parkNanos(BIND_PAUSE_NANOS);
 			}
 		}
-		every(Duration.ofMillis(WATCH_MILLIS), this.intake::checkCalls);
+		schedule(Duration.ofMillis(CANCEL_CHECK_INTERVAL_MILLIS), this.intake::cancelEndedCalls);
 	}
 
 	private Undertow build(RouterAddresses addresses, Supplier<String> metrics) {
 		Undertow.Builder builder = Undertow.builder()
-			.setWorkerThreads(RequestIntake.MAX_CALLS)
+			.setWorkerThreads(RequestIntake.MAX_CONCURRENT_REQUESTS)
 			.setIoThreads(1)
 			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
 			.setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEADER_TIMEOUT_MILLIS)
@@ -127,12 +127,12 @@
 	}
 
 	/**
-	 * Runs a task again and again while the server runs.
-	 * @param period time between two runs
+	 * Runs a task periodically while the server runs.
+	 * @param period time from the end of one run to the start of the next
 	 * @param task the task, which must not block
 	 */
-	void every(Duration period, Runnable task) {
-		var unused = this.watch.scheduleWithFixedDelay(task, period.toMillis(), period.toMillis(),
+	void schedule(Duration period, Runnable task) {
+		var unused = this.timer.scheduleWithFixedDelay(task, period.toMillis(), period.toMillis(),
 				TimeUnit.MILLISECONDS);
 	}
 
@@ -142,7 +142,7 @@
 
 	private void readiness(HttpServerExchange exchange) {
 		boolean ready = this.directory.isReadiness(exchange.getRequestPath())
-				&& this.services.view().snapshot().catalog() != null && !this.departure.hasBegun();
+				&& this.services.view().snapshot().catalog() != null && !this.shutdown.hasBegun();
 		exchange.setStatusCode(ready ? 200 : 503);
 		exchange.endExchange();
 	}
@@ -155,7 +155,7 @@
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		exchange.getResponseSender()
-			.send(ByteBuffer.wrap(this.directory.directoryAnswer(this.members.get(), DIRECTORY_LIFE)));
+			.send(ByteBuffer.wrap(this.directory.directoryAnswer(this.callerAddresses.get(), DIRECTORY_TTL)));
 	}
 
 	private static void text(HttpServerExchange exchange, String body) {
@@ -165,7 +165,7 @@
 
 	@Override
 	public void close() {
-		this.watch.shutdownNow();
+		this.timer.shutdownNow();
 		Undertow started = this.server;
 		if (started != null) {
 			started.stop();
--- a/server/src/main/java/org/banyanstile/server/router/RouterServices.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterServices.java
@@ -20,27 +20,28 @@
 import org.banyanstile.server.view.FleetView;
 
 /**
- * What requests share on a VM. Lock order: cold rates, retry shares; neither is held
- * during I/O.
+ * Components that all requests on a VM share. Lock order: cold rates, retry shares;
+ * neither is held during I/O.
  *
  * @author banyanstile contributors
  */
 final class RouterServices {
 
 	/**
-	 * Requests of a VM that try to reserve memory at once while others wait.
+	 * Queued requests of a VM that may try to reserve memory at the same time; the others
+	 * wait.
 	 */
-	private static final int LINE_WIDTH = 2;
+	private static final int MAX_RESERVING_REQUESTS = 2;
 
 	private volatile RouterSettings settings;
 
 	private final FleetView view;
 
-	private final PhaseChanges changes;
+	private final PhaseChanges roleChanges;
 
 	private final RequestProtocol protocol;
 
-	private final EngineCalls engines;
+	private final EngineCalls engineCalls;
 
 	private final EndpointLoads loads;
 
@@ -50,34 +51,34 @@
 
 	private final EndpointClient client;
 
-	private final IntSupplier vms;
+	private final IntSupplier vmCount;
 
 	private final DecisionLog log;
 
 	private final RouterMetrics metrics;
 
-	private final Map<String, AdmissionLine> lines = new ConcurrentHashMap<>();
+	private final Map<String, AdmissionLine> admissionQueues = new ConcurrentHashMap<>();
 
-	private final Map<String, RetryShare> retries = new HashMap<>();
+	private final Map<String, RetryShare> retryShares = new HashMap<>();
 
-	private final Map<String, ColdRate> colds = new HashMap<>();
+	private final Map<String, ColdRate> coldRates = new HashMap<>();
 
-	RouterServices(RouterSettings settings, FleetView view, PhaseChanges changes, RequestProtocol protocol,
-			EngineCalls engines, EndpointLoads loads, EndpointHealth health, EndpointPicker picker,
-			EndpointClient client, IntSupplier vms, DecisionLog log, MeterRegistry registry) {
+	RouterServices(RouterSettings settings, FleetView view, PhaseChanges roleChanges, RequestProtocol protocol,
+			EngineCalls engineCalls, EndpointLoads loads, EndpointHealth health, EndpointPicker picker,
+			EndpointClient client, IntSupplier vmCount, DecisionLog log, MeterRegistry registry) {
 		this.settings = settings;
 		this.view = view;
-		this.changes = changes;
+		this.roleChanges = roleChanges;
 		this.protocol = protocol;
-		this.engines = engines;
+		this.engineCalls = engineCalls;
 		this.loads = loads;
 		this.health = health;
 		this.picker = picker;
 		this.client = client;
-		this.vms = vms;
+		this.vmCount = vmCount;
 		this.log = log;
 		this.metrics = new RouterMetrics(registry);
-		this.metrics.watch(log);
+		this.metrics.bindSuppressedLines(log);
 	}
 
 	FleetView view() {
@@ -85,35 +86,36 @@
 	}
 
 	/**
-	 * Returns the engines that take work of one part.
+	 * Returns the usable engines of one role.
 	 * @param service name of the service
-	 * @param phase the part
-	 * @return the engines, without those that change their part
+	 * @param role the role
+	 * @return the engines, without those that are changing their role
 	 */
-	List<RegisteredEndpoint> engines(String service, EndpointPhase phase) {
+	List<RegisteredEndpoint> engines(String service, EndpointPhase role) {
 		long now = System.nanoTime();
 		return this.view.snapshot()
-			.usable(service, phase)
+			.usable(service, role)
 			.stream()
-			.filter((engine) -> !this.changes.isChanging(engine, now))
+			.filter((engine) -> !this.roleChanges.isChanging(engine, now))
 			.toList();
 	}
 
 	/**
-	 * Returns whether an engine that was chosen before still takes work.
+	 * Returns whether an engine that was chosen earlier is still usable and not changing
+	 * its role.
 	 * @param engine the engine
-	 * @return whether it does
+	 * @return whether it is
 	 */
-	boolean takesWork(RegisteredEndpoint engine) {
-		return this.view.snapshot().isUsable(engine) && !this.changes.isChanging(engine, System.nanoTime());
+	boolean isUsableInCurrentRole(RegisteredEndpoint engine) {
+		return this.view.snapshot().isUsable(engine) && !this.roleChanges.isChanging(engine, System.nanoTime());
 	}
 
 	RequestProtocol protocol() {
 		return this.protocol;
 	}
 
-	EngineCalls engines() {
-		return this.engines;
+	EngineCalls engineCalls() {
+		return this.engineCalls;
 	}
 
 	EndpointLoads loads() {
@@ -140,69 +142,69 @@
 		return this.metrics;
 	}
 
-	AdmissionLine line(String service) {
-		return this.lines.computeIfAbsent(service, (name) -> AdmissionLine.create(LINE_WIDTH));
+	AdmissionLine admissionQueue(String service) {
+		return this.admissionQueues.computeIfAbsent(service, (name) -> AdmissionLine.create(MAX_RESERVING_REQUESTS));
 	}
 
 	/**
-	 * Applies other figures. A changed window of the retry budget begins anew, as after a
-	 * restart.
-	 * @param next the figures
+	 * Applies new settings. If the window of the retry budget changes, the budget starts
+	 * afresh as after a restart.
+	 * @param newSettings the new settings
 	 */
-	void apply(RouterSettings next) {
-		synchronized (this.retries) {
-			if (!next.retryWindow().equals(this.settings.retryWindow())) {
-				this.retries.clear();
+	void apply(RouterSettings newSettings) {
+		synchronized (this.retryShares) {
+			if (!newSettings.retryWindow().equals(this.settings.retryWindow())) {
+				this.retryShares.clear();
 			}
-			this.settings = next;
+			this.settings = newSettings;
 		}
 	}
 
 	void countRequest(String service) {
-		synchronized (this.retries) {
-			retries(service).request(System.nanoTime());
+		synchronized (this.retryShares) {
+			retryShare(service).request(System.nanoTime());
 		}
 	}
 
 	/**
-	 * Takes a repeat from this VM's share of the retry budget.
+	 * Takes a retry from this VM's share of the retry budget.
 	 * @param service name of the service
-	 * @return whether the repeat is allowed
+	 * @return whether the retry is allowed
 	 */
-	boolean tryRepeat(String service) {
+	boolean tryAcquireRetry(String service) {
 		boolean allowed;
-		synchronized (this.retries) {
-			allowed = retries(service).tryRepeat(this.settings.retryRatio(), this.settings.retryExtra(),
-					this.vms.getAsInt(), System.nanoTime());
+		synchronized (this.retryShares) {
+			allowed = retryShare(service).tryRepeat(this.settings.retryRatio(), this.settings.retryExtra(),
+					this.vmCount.getAsInt(), System.nanoTime());
 		}
-		this.metrics.repeat(allowed);
+		this.metrics.retry(allowed);
 		return allowed;
 	}
 
-	private RetryShare retries(String service) {
-		return this.retries.computeIfAbsent(service,
+	private RetryShare retryShare(String service) {
+		return this.retryShares.computeIfAbsent(service,
 				(name) -> RetryShare.create(this.settings.retryWindow().toNanos()));
 	}
 
 	/**
-	 * Takes a request to an endpoint from this VM's share of what it can take while it is
-	 * cold.
+	 * If an endpoint is cold, takes a request from this VM's share of the endpoint's cold
+	 * request rate.
 	 * @param endpoint the endpoint
-	 * @return whether it may get the request
+	 * @return whether the endpoint may get the request
 	 */
-	boolean mayTakeCold(RegisteredEndpoint endpoint) {
+	boolean tryAcquireColdRate(RegisteredEndpoint endpoint) {
 		var catalog = this.view.snapshot().catalog();
 		ServedService service = (catalog != null) ? catalog.service(endpoint.service()) : null;
 		if (service == null || service.coldPerSecond() <= 0 || !this.view.isCold(endpoint.id())) {
 			return true;
 		}
-		synchronized (this.colds) {
-			if (this.colds.size() > 1000) {
-				this.colds.clear();
+		synchronized (this.coldRates) {
+			if (this.coldRates.size() > 1000) {
+				this.coldRates.clear();
 			}
 			long now = System.nanoTime();
-			return this.colds.computeIfAbsent(endpoint.id(), (id) -> ColdRate.create(now))
-				.tryTake(service.coldPerSecond(), this.vms.getAsInt(), now);
+			return this.coldRates.computeIfAbsent(endpoint.id(), (id) -> ColdRate.create(now))
+				.tryTake(service.coldPerSecond(), this.vmCount.getAsInt(), now);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/TeamQuotas.java
+++ b/server/src/main/java/org/banyanstile/server/router/TeamQuotas.java
@@ -15,45 +15,45 @@
 import org.banyanstile.server.gossip.GossipUse;
 
 /**
- * Token limits of all teams. Safe for use by several threads.
+ * Token quotas of all teams. Thread-safe.
  *
  * @author banyanstile contributors
  */
 final class TeamQuotas {
 
 	/**
-	 * Part of the tolerated excess that is added to each bucket, so that a team within
-	 * its limit is not refused because the VMs' reports lag. The rest covers what VMs
-	 * admit between two reports.
+	 * Fraction of the tolerated excess that is added to each bucket, so that a team
+	 * within its limit is not rejected because reports of other VMs are delayed. The rest
+	 * covers what the VMs admit between two reports.
 	 */
-	private static final double USED_TOLERANCE = 0.5;
+	private static final double BUCKET_TOLERANCE_RATIO = 0.5;
 
 	private final Map<String, SharedQuota> quotas = new HashMap<>();
 
-	private final Map<String, Map<String, Heard>> heard = new HashMap<>();
+	private final Map<String, Map<String, ReportedUse>> reportedUses = new HashMap<>();
 
 	private final Ticker ticker;
 
-	private final Supplier<Set<String>> others;
+	private final Supplier<Set<String>> otherVms;
 
 	private double extraTokens;
 
-	TeamQuotas(Ticker ticker, double tolerance, Supplier<Set<String>> others) {
+	TeamQuotas(Ticker ticker, double tolerance, Supplier<Set<String>> otherVms) {
 		this.ticker = ticker;
-		this.others = others;
-		this.extraTokens = USED_TOLERANCE * tolerance;
+		this.otherVms = otherVms;
+		this.extraTokens = BUCKET_TOLERANCE_RATIO * tolerance;
 	}
 
 	/**
-	 * Changes the tolerated excess.
-	 * @param tolerance tokens by which a team may exceed its limit for a moment
+	 * Sets the tolerated excess.
+	 * @param tolerance tokens by which a team may temporarily exceed its limit
 	 */
 	synchronized void setTolerance(double tolerance) {
-		this.extraTokens = USED_TOLERANCE * tolerance;
+		this.extraTokens = BUCKET_TOLERANCE_RATIO * tolerance;
 	}
 
 	/**
-	 * Takes tokens of a team.
+	 * Takes tokens from the quota of a team.
 	 * @param team the team
 	 * @param tokens the tokens
 	 * @return 0 if they were taken, else the time in nanoseconds until there may be
@@ -67,11 +67,11 @@
 	}
 
 	/**
-	 * Gives back tokens of a request that did not run.
+	 * Refunds the tokens of a request that did not run.
 	 * @param team the team
 	 * @param tokens the tokens
 	 */
-	synchronized void giveBack(TeamPolicy team, long tokens) {
+	synchronized void refund(TeamPolicy team, long tokens) {
 		if (team.isLimited()) {
 			quota(team).giveBack(tokens);
 		}
@@ -80,25 +80,25 @@
 	private SharedQuota quota(TeamPolicy team) {
 		long now = this.ticker.nanos();
 		SharedQuota quota = this.quotas.computeIfAbsent(team.name(), (name) -> {
-			SharedQuota fresh = SharedQuota.empty(team.tokensPerSecond(), team.burstTokens() + this.extraTokens, now);
-			this.heard.getOrDefault(name, Map.of())
-				.forEach((vm, use) -> fresh.report(vm, use.incarnation(), use.tokens(), now));
-			return fresh;
+			SharedQuota created = SharedQuota.empty(team.tokensPerSecond(), team.burstTokens() + this.extraTokens, now);
+			this.reportedUses.getOrDefault(name, Map.of())
+				.forEach((vm, use) -> created.report(vm, use.incarnation(), use.tokens(), now));
+			return created;
 		});
 		quota.setLimit(team.tokensPerSecond(), team.burstTokens() + this.extraTokens, now);
 		return quota;
 	}
 
 	/**
-	 * Prepares the buckets of teams, so that they fill before the first requests, and
-	 * tells them the VMs of the fleet.
+	 * Creates the buckets of teams, so that they fill before the first requests, and sets
+	 * the other VMs of the fleet in them.
 	 * @param teams the teams
 	 */
 	void prepare(Collection<TeamPolicy> teams) {
-		Set<String> vms = this.others.get();
+		Set<String> vms = this.otherVms.get();
 		long now = this.ticker.nanos();
 		synchronized (this) {
-			this.heard.values().forEach((uses) -> uses.keySet().retainAll(vms));
+			this.reportedUses.values().forEach((uses) -> uses.keySet().retainAll(vms));
 			for (TeamPolicy team : teams) {
 				if (team.isLimited()) {
 					quota(team).setPeers(vms, now);
@@ -116,8 +116,8 @@
 	synchronized void report(GossipMember vm, List<GossipUse> uses) {
 		long now = this.ticker.nanos();
 		for (GossipUse use : uses) {
-			this.heard.computeIfAbsent(use.team(), (team) -> new HashMap<>())
-				.put(vm.vm(), new Heard(vm.incarnation(), use.tokens()));
+			this.reportedUses.computeIfAbsent(use.team(), (team) -> new HashMap<>())
+				.put(vm.vm(), new ReportedUse(vm.incarnation(), use.tokens()));
 			SharedQuota quota = this.quotas.get(use.team());
 			if (quota != null) {
 				quota.report(vm.vm(), vm.incarnation(), use.tokens(), now);
@@ -126,13 +126,14 @@
 	}
 
 	/**
-	 * Use that another VM reported last, kept for teams that this VM has not served yet.
+	 * Last token use that another VM reported for a team, kept until this VM serves the
+	 * team.
 	 *
 	 * @param incarnation incarnation of the VM
-	 * @param tokens tokens since its start
+	 * @param tokens tokens that the VM has used since its start
 	 * @author banyanstile contributors
 	 */
-	private record Heard(long incarnation, long tokens) {
+	private record ReportedUse(long incarnation, long tokens) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/UnknownOutcomeException.java
+++ b/server/src/main/java/org/banyanstile/server/router/UnknownOutcomeException.java
@@ -3,7 +3,7 @@
 import java.io.Serial;
 
 /**
- * A request may or may not have run.
+ * Thrown if it is unknown whether an endpoint ran a request.
  *
  * @author banyanstile contributors
  */
--- a/server/src/test/java/org/banyanstile/server/router/EventSplitterTests.java
+++ b/server/src/test/java/org/banyanstile/server/router/EventSplitterTests.java
@@ -30,24 +30,24 @@
 
 	@Test
 	void passesOnlyWholeEvents() {
-		assertThat(text(this.splitter.take(bytes("id: 1\ndata: a\n\nid: 2\nda"))), is("id: 1\ndata: a\n\n"));
-		assertThat(this.splitter.lastId(), is("1"));
-		assertThat(text(this.splitter.take(bytes("ta: b\n\n"))), is("id: 2\ndata: b\n\n"));
-		assertThat(this.splitter.lastId(), is("2"));
+		assertThat(text(this.splitter.append(bytes("id: 1\ndata: a\n\nid: 2\nda"))), is("id: 1\ndata: a\n\n"));
+		assertThat(this.splitter.lastEventId(), is("1"));
+		assertThat(text(this.splitter.append(bytes("ta: b\n\n"))), is("id: 2\ndata: b\n\n"));
+		assertThat(this.splitter.lastEventId(), is("2"));
 	}
 
 	@Test
 	void idOfAnEventThatBrokeOffDoesNotCount() {
-		this.splitter.take(bytes("id: 1\ndata: a\n\nid: 2\ndata"));
-		this.splitter.dropPartial();
-		assertThat(text(this.splitter.take(bytes("id: 2\ndata: b\n\n"))), is("id: 2\ndata: b\n\n"));
-		assertThat(this.splitter.events(), is(2));
+		this.splitter.append(bytes("id: 1\ndata: a\n\nid: 2\ndata"));
+		this.splitter.discardPartialEvent();
+		assertThat(text(this.splitter.append(bytes("id: 2\ndata: b\n\n"))), is("id: 2\ndata: b\n\n"));
+		assertThat(this.splitter.eventCount(), is(2));
 	}
 
 	@Test
 	void hasNoIdBeforeTheFirstEvent() {
-		this.splitter.take(bytes("id: 1\n"));
-		assertThat(this.splitter.lastId(), is(nullValue()));
+		this.splitter.append(bytes("id: 1\n"));
+		assertThat(this.splitter.lastEventId(), is(nullValue()));
 	}
 
 	@Test
@@ -59,17 +59,17 @@
 		byte[] all = stream.toString().getBytes(StandardCharsets.UTF_8);
 		for (int seed = 0; seed < 200; seed++) {
 			Random random = new Random(seed);
-			EventSplitter cut = new EventSplitter();
+			EventSplitter freshSplitter = new EventSplitter();
 			ByteArrayOutputStream out = new ByteArrayOutputStream();
 			int at = 0;
 			while (at < all.length) {
 				int n = Math.min(all.length - at, 1 + random.nextInt(30));
-				ByteBuffer whole = cut.take(ByteBuffer.wrap(all, at, n));
-				out.write(whole.array(), whole.position(), whole.remaining());
+				ByteBuffer complete = freshSplitter.append(ByteBuffer.wrap(all, at, n));
+				out.write(complete.array(), complete.position(), complete.remaining());
 				at += n;
 			}
 			assertThat("seed " + seed, out.toString(StandardCharsets.UTF_8), is(stream.toString()));
-			assertThat(cut.events(), is(39));
+			assertThat(freshSplitter.eventCount(), is(39));
 		}
 	}
 
