--- a/server/src/main/java/org/banyanstile/server/gossip/GossipChange.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipChange.java
@@ -1,11 +1,12 @@
 package org.banyanstile.server.gossip;
 
 /**
- * An engine that changes its part.
+ * An engine that is changing its role.
  *
  * @param endpoint id of the engine
- * @param phase ordinal of its new part
- * @param leftMillis time in milliseconds after which the order counts as lost
+ * @param phase ordinal of its new role
+ * @param leftMillis remaining time in milliseconds until the role-change order counts as
+ * lost
  * @author banyanstile contributors
  */
 public record GossipChange(String endpoint, int phase, long leftMillis) {
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipLoad.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipLoad.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.gossip;
 
 /**
- * Work of the sender at an endpoint.
+ * Requests of the sender that run at an endpoint.
  *
  * @param endpoint id of the endpoint
  * @param requests number of requests
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipNode.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipNode.java
@@ -27,9 +27,9 @@
 import org.banyanstile.server.vm.Addresses;
 
 /**
- * Exchanges state with other VMs by datagrams: with each of them in turn, and at once
- * with all of them after a change of the operator's table. Everything sent is idempotent,
- * so lost, repeated and reordered datagrams do no harm.
+ * Exchanges state with other VMs by datagrams: with some of them in each round, and with
+ * all of them right after a change of the operator's table. Every message is idempotent,
+ * so lost, duplicate and reordered datagrams do no harm.
  *
  * @author banyanstile contributors
  */
@@ -38,16 +38,16 @@
 	private static final long ROUND_MILLIS = 250;
 
 	/**
-	 * Rounds from one list of all members to the next in a fleet whose VMs all hear each
-	 * other in each round. Two lists pass before a VM that only some can reach counts as
-	 * dead. In a larger fleet one VM in each round gets the list, so each hears four
-	 * lists a second.
+	 * Rounds from one member list to the next in a fleet in which each VM sends to all
+	 * others in each round. Two lists are sent before a VM that only some can reach
+	 * counts as dead. In a larger fleet each VM sends the list to one VM in each round,
+	 * so each VM receives four lists a second.
 	 */
-	private static final int MEMBER_ROUNDS = 4;
+	private static final int ROUNDS_PER_MEMBER_LIST = 4;
 
-	private static final int MAX_DATAGRAM = 60_000;
+	private static final int MAX_DATAGRAM_BYTES = 60_000;
 
-	private static final int TABLES = FleetTable.values().length;
+	private static final int TABLE_COUNT = FleetTable.values().length;
 
 	private final DatagramChannel channel;
 
@@ -92,8 +92,8 @@
 	}
 
 	/**
-	 * Opens the socket and starts the rounds.
-	 * @param address address to listen at
+	 * Opens the socket and starts the gossip rounds.
+	 * @param address address to bind
 	 * @param membership the VMs of the fleet
 	 * @param view copy of the store's tables
 	 * @param local state of this VM
@@ -137,7 +137,7 @@
 	}
 
 	/**
-	 * Sets addresses to try beside those of known VMs.
+	 * Sets seed addresses, which are used in addition to those of known VMs.
 	 * @param addresses addresses of VMs, which may be down
 	 */
 	public void setSeeds(Collection<String> addresses) {
@@ -162,17 +162,18 @@
 	private void round() {
 		try {
 			this.view.dropExpired();
-			this.membership.beat(this.local.memberState());
+			this.membership.advanceHeartbeat(this.local.memberState());
 			Set<String> all = allAddresses();
 			List<String> targets = this.rotation.next(all);
-			boolean small = targets.size() == all.size();
-			int listed = small ? 0 : 1;
+			boolean sendsToAll = targets.size() == all.size();
+			int memberListTargets = sendsToAll ? 0 : 1;
 			Collections.shuffle(targets, this.random);
-			send(targets.subList(0, listed), true);
-			send(targets.subList(listed, targets.size()), small && this.membership.self().beat() % MEMBER_ROUNDS == 0);
+			send(targets.subList(0, memberListTargets), true);
+			send(targets.subList(memberListTargets, targets.size()),
+					sendsToAll && this.membership.self().heartbeat() % ROUNDS_PER_MEMBER_LIST == 0);
 		}
 		catch (RuntimeException ex) {
-			this.log.problem("a round of gossip failed", ex);
+			this.log.problem("gossip round failed", ex);
 		}
 	}
 
@@ -187,37 +188,37 @@
 		return addresses;
 	}
 
-	private void send(Collection<String> targets, boolean listed) {
+	private void send(Collection<String> targets, boolean withMembers) {
 		if (targets.isEmpty()) {
 			return;
 		}
 		try {
 			ByteBuffer datagram = ByteBuffer
-				.wrap(this.codec.encode(new Message(Message.ONE_WAY, state(listed, false))));
+				.wrap(this.codec.encode(new Message(Message.ONE_WAY, state(withMembers, false))));
 			for (String target : targets) {
 				send(datagram.duplicate(), Addresses.parse(target));
 			}
 		}
 		catch (IOException ex) {
-			this.log.problem("the state for other VMs cannot be encoded", ex);
+			this.log.problem("cannot encode the gossip state", ex);
 		}
 	}
 
-	private GossipState state(boolean listed, boolean answered) {
+	private GossipState state(boolean withMembers, boolean reply) {
 		List<Long> versions = new ArrayList<>();
 		List<Long> millis = new ArrayList<>();
 		for (FleetTable table : FleetTable.values()) {
 			versions.add(this.view.version(table));
 			millis.add(this.view.storeMillis(table));
 		}
-		List<GossipMember> peers = listed ? this.membership.alivePeers(this.ticker.nanos()) : List.of();
+		List<GossipMember> peers = withMembers ? this.membership.alivePeers(this.ticker.nanos()) : List.of();
 		return new GossipState(this.membership.self(), peers, this.local.loads(), this.local.uses(),
-				this.local.changes(), versions, millis, answered);
+				this.local.changes(), versions, millis, reply);
 	}
 
 	private void send(ByteBuffer datagram, SocketAddress target) {
-		if (datagram.remaining() > MAX_DATAGRAM) {
-			this.log.problem("a datagram for another VM is too large, it reads the store instead",
+		if (datagram.remaining() > MAX_DATAGRAM_BYTES) {
+			this.log.problem("a datagram to another VM is too large; that VM has to read the store instead",
 					new IOException(datagram.remaining() + " bytes"));
 			return;
 		}
@@ -226,7 +227,7 @@
 		}
 		catch (IOException ex) {
 			if (!this.closed) {
-				this.log.problem("a datagram to " + target + " was not sent", ex);
+				this.log.problem("cannot send a datagram to " + target, ex);
 			}
 		}
 	}
@@ -246,7 +247,7 @@
 			}
 			catch (IOException | RuntimeException ex) {
 				if (!this.closed) {
-					this.log.problem("a datagram was ignored", ex);
+					this.log.problem("ignored a datagram that could not be received or handled", ex);
 				}
 			}
 		}
@@ -254,20 +255,20 @@
 
 	private void handle(Object payload, SocketAddress sender) throws IOException {
 		if (payload instanceof GossipState state) {
-			received(state, sender);
+			receive(state, sender);
 		}
 		else if (payload instanceof GossipRows rows) {
-			received(rows);
+			receive(rows);
 		}
 	}
 
-	private void received(GossipState state, SocketAddress sender) throws IOException {
+	private void receive(GossipState state, SocketAddress sender) throws IOException {
 		List<GossipMember> members = new ArrayList<>(state.members());
 		members.add(state.self());
 		this.membership.merge(members, this.ticker.nanos());
 		this.local.received(state);
 		boolean behind = false;
-		for (int i = 0; i < Math.min(TABLES, state.versions().size()); i++) {
+		for (int i = 0; i < Math.min(TABLE_COUNT, state.versions().size()); i++) {
 			FleetTable table = FleetTable.values()[i];
 			if (state.versions().get(i) < this.view.version(table)
 					|| state.millis().get(i) < this.view.storeMillis(table)) {
@@ -276,7 +277,7 @@
 			behind |= state.versions().get(i) > this.view.version(table)
 					|| state.millis().get(i) > this.view.storeMillis(table);
 		}
-		if (behind && !state.answered()) {
+		if (behind && !state.reply()) {
 			send(ByteBuffer.wrap(this.codec.encode(new Message(Message.ONE_WAY, state(true, true)))), sender);
 		}
 	}
@@ -295,11 +296,11 @@
 		send(ByteBuffer.wrap(this.codec.encode(new Message(Message.ONE_WAY, message))), target);
 	}
 
-	private void received(GossipRows message) throws IOException {
+	private void receive(GossipRows message) throws IOException {
 		List<ReplicaRow> rows = new ArrayList<>();
 		for (GossipRow row : message.rows()) {
 			rows.add(new ReplicaRow(row.key(), row.version(),
-					(row.value().length > 0) ? RowCompression.expand(row.value()) : null));
+					(row.value().length > 0) ? RowCompression.decompress(row.value()) : null));
 		}
 		TableRead read = new TableRead(rows, message.version(), message.millis());
 		FleetTable table = FleetTable.values()[message.table()];
@@ -312,7 +313,7 @@
 	}
 
 	/**
-	 * Ends the rounds and closes the socket.
+	 * Ends the gossip rounds and closes the socket.
 	 */
 	@Override
 	public void close() {
@@ -322,43 +323,43 @@
 			this.channel.close();
 		}
 		catch (IOException ex) {
-			this.log.problem("closing the socket for other VMs failed", ex);
+			this.log.problem("failed to close the gossip socket", ex);
 		}
 	}
 
 	/**
-	 * State of this VM that goes to the others, and what they say of theirs.
+	 * State of this VM that is sent to other VMs, and receiver of their states.
 	 *
 	 * @author banyanstile contributors
 	 */
 	public interface LocalState {
 
 		/**
-		 * Returns the present state of this VM.
+		 * Returns the current state of this VM.
 		 * @return its state
 		 */
 		MemberState memberState();
 
 		/**
-		 * Returns the work of this VM at endpoints.
-		 * @return its loads
+		 * Returns the running requests of this VM by endpoint.
+		 * @return the loads
 		 */
 		List<GossipLoad> loads();
 
 		/**
-		 * Returns the tokens that this VM has used.
-		 * @return its use by team
+		 * Returns the tokens that this VM has used since its start.
+		 * @return the use by team
 		 */
 		List<GossipUse> uses();
 
 		/**
-		 * Returns the engines of which this VM knows that they change their part.
-		 * @return the changes
+		 * Returns the role changes that this VM knows to be in progress.
+		 * @return the role changes
 		 */
 		List<GossipChange> changes();
 
 		/**
-		 * Learns the state of another VM.
+		 * Receives the state of another VM.
 		 * @param state the state
 		 */
 		void received(GossipState state);
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipRow.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipRow.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.gossip;
 
 /**
- * A row of the store.
+ * A row of a table of the store.
  *
  * @param key key of the row
  * @param version version of the row
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipRows.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipRows.java
@@ -7,8 +7,8 @@
  *
  * @param table ordinal of the table
  * @param whole whether these are all rows of the table
- * @param after all changes after this version are included
- * @param version version up to which the rows are complete
+ * @param after version after which all changes are included
+ * @param version the store's version up to which the rows are complete
  * @param millis the store's time of that version
  * @param rows the rows
  * @author banyanstile contributors
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipState.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipState.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * State that a VM sends to others in each round.
+ * State that a VM sends to other VMs in each gossip round.
  *
  * @param self the sender
- * @param members all VMs that it knows
- * @param loads its work at endpoints
- * @param uses its use of token limits
- * @param changes engines that change their part
- * @param versions version of each table that it knows completely
+ * @param members the other VMs that it knows to be alive, empty if it sends no member
+ * list
+ * @param loads its running requests by endpoint
+ * @param uses tokens that it has used, by team
+ * @param changes engines that are changing their role
+ * @param versions for each table the version up to which it knows all changes
  * @param millis the store's time of each of these versions
- * @param answered whether this replies to another state, and needs no reply
+ * @param reply whether this replies to another state, and needs no reply itself
  * @author banyanstile contributors
  */
 public record GossipState(GossipMember self, List<GossipMember> members, List<GossipLoad> loads, List<GossipUse> uses,
-		List<GossipChange> changes, List<Long> versions, List<Long> millis, boolean answered) {
+		List<GossipChange> changes, List<Long> versions, List<Long> millis, boolean reply) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/gossip/MemberState.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/MemberState.java
@@ -8,17 +8,17 @@
 public enum MemberState {
 
 	/**
-	 * Started, knows no configuration yet.
+	 * Started, but has no configuration yet.
 	 */
 	STARTING,
 
 	/**
-	 * Takes requests.
+	 * Accepts requests.
 	 */
 	SERVING,
 
 	/**
-	 * Shuts down and must not be named to callers.
+	 * Is shutting down; the directory must not return it to callers.
 	 */
 	LEAVING
 
--- a/server/src/main/java/org/banyanstile/server/gossip/Membership.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/Membership.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * VMs of the fleet by their heartbeats. A VM is alive as long as its counter advances, at
- * whatever VM it was heard. Safe for use by several threads.
+ * Tracks the VMs of the fleet by their heartbeat counters. A VM is alive as long as its
+ * counter advances, whether it is received from the VM itself or from another one. Safe
+ * for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -17,12 +18,13 @@
 
 	/**
 	 * Time without an advancing counter after which a VM counts as dead: eight rounds of
-	 * 250 ms, and below the time that a directory answer may name a dead VM.
+	 * 250 ms, and less than the time for which a directory response may name a dead VM.
 	 */
 	static final long DEAD_NANOS = 2_000_000_000L;
 
 	/**
-	 * Time after which a dead VM is forgotten and no longer holds a share of limits.
+	 * Time without an advancing counter after which a VM is forgotten and no longer holds
+	 * a share of limits.
 	 */
 	static final long FORGET_NANOS = 20_000_000_000L;
 
@@ -44,29 +46,29 @@
 	}
 
 	/**
-	 * Raises the counter of this VM.
-	 * @param state its present state
+	 * Increments the heartbeat counter of this VM.
+	 * @param state its current state
 	 * @return this VM
 	 */
-	public synchronized GossipMember beat(MemberState state) {
-		this.self = with(this.self.incarnation(), this.self.beat() + 1, state.ordinal());
+	public synchronized GossipMember advanceHeartbeat(MemberState state) {
+		this.self = with(this.self.incarnation(), this.self.heartbeat() + 1, state.ordinal());
 		return this.self;
 	}
 
-	private GossipMember with(long incarnation, long beat, int state) {
-		return new GossipMember(this.self.vm(), incarnation, beat, this.self.dataCentre(), this.self.callerAddress(),
-				this.self.peerAddress(), state);
+	private GossipMember with(long incarnation, long heartbeat, int state) {
+		return new GossipMember(this.self.vm(), incarnation, heartbeat, this.self.dataCentre(),
+				this.self.callerAddress(), this.self.peerAddress(), state);
 	}
 
 	/**
-	 * Learns what another VM knows.
-	 * @param members the VMs that it knows
+	 * Merges the VMs that another VM knows.
+	 * @param members the VMs
 	 * @param now the current time in nanoseconds
 	 */
 	public synchronized void merge(Collection<GossipMember> members, long now) {
 		for (GossipMember member : members) {
 			if (member.vm().equals(this.self.vm())) {
-				outlive(member);
+				raiseIncarnation(member);
 				continue;
 			}
 			Entry known = this.entries.get(member.vm());
@@ -74,14 +76,14 @@
 				this.entries.put(member.vm(), new Entry(member, now));
 			}
 		}
-		this.entries.values().removeIf((entry) -> now - entry.advanced() > FORGET_NANOS);
+		this.entries.values().removeIf((entry) -> now - entry.advancedAt() > FORGET_NANOS);
 	}
 
-	// Takes a higher incarnation than that of an earlier life. The time of day, from
-	// which incarnations are drawn, may have jumped back between the two.
-	private void outlive(GossipMember earlier) {
+	// Takes a higher incarnation than that of an earlier run of this VM. Incarnations are
+	// start times, and the clock may have jumped back between the two runs.
+	private void raiseIncarnation(GossipMember earlier) {
 		if (earlier.incarnation() > this.self.incarnation()) {
-			this.self = with(earlier.incarnation() + 1, this.self.beat(), this.self.state());
+			this.self = with(earlier.incarnation() + 1, this.self.heartbeat(), this.self.state());
 		}
 	}
 
@@ -89,7 +91,7 @@
 		if (member.incarnation() != known.incarnation()) {
 			return member.incarnation() > known.incarnation();
 		}
-		return member.beat() > known.beat();
+		return member.heartbeat() > known.heartbeat();
 	}
 
 	/**
@@ -108,7 +110,7 @@
 	public synchronized List<GossipMember> alivePeers(long now) {
 		List<GossipMember> alive = new ArrayList<>();
 		for (Entry entry : this.entries.values()) {
-			if (now - entry.advanced() <= DEAD_NANOS) {
+			if (now - entry.advancedAt() <= DEAD_NANOS) {
 				alive.add(entry.member());
 			}
 		}
@@ -133,29 +135,30 @@
 	}
 
 	/**
-	 * Returns how many living VMs stand before this one in the fleet. The first one does
-	 * what one VM is enough for.
+	 * Returns the number of live VMs whose names sort before this VM's name, without
+	 * those that are shutting down. The VM of rank 0 does the work that a single VM has
+	 * to do for the fleet.
 	 * @param now the current time in nanoseconds
-	 * @return the number, 0 for the first VM
+	 * @return the rank
 	 */
 	public synchronized int rank(long now) {
-		int before = 0;
+		int rank = 0;
 		for (Entry entry : this.entries.values()) {
 			GossipMember member = entry.member();
-			boolean alive = now - entry.advanced() <= DEAD_NANOS && member.state() != MemberState.LEAVING.ordinal();
-			before += (alive && member.vm().compareTo(this.self.vm()) < 0) ? 1 : 0;
+			boolean alive = now - entry.advancedAt() <= DEAD_NANOS && member.state() != MemberState.LEAVING.ordinal();
+			rank += (alive && member.vm().compareTo(this.self.vm()) < 0) ? 1 : 0;
 		}
-		return before;
+		return rank;
 	}
 
 	/**
-	 * A VM and when its counter last advanced.
+	 * A VM and the time at which its counter last advanced.
 	 *
 	 * @param member the VM
-	 * @param advanced time in nanoseconds
+	 * @param advancedAt time in nanoseconds
 	 * @author banyanstile contributors
 	 */
-	private record Entry(GossipMember member, long advanced) {
+	private record Entry(GossipMember member, long advancedAt) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/gossip/PeerRotation.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/PeerRotation.java
@@ -8,38 +8,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses the VMs that hear this VM in a round, in turn, so that each hears it at an even
- * pace: in every round in a small fleet, each two seconds in one of 64 VMs. A random
- * choice leaves some VMs without word for several times the mean. Not safe for use by
- * several threads.
+ * Selects the VMs to send to in a gossip round, in turn, so that each VM receives the
+ * state of this one at even intervals: in every round in a small fleet, every two seconds
+ * in a fleet of 64 VMs. With a random selection some VMs would receive nothing for
+ * several times the mean interval. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 final class PeerRotation {
 
 	/**
-	 * VMs in a round. With four rounds a second a VM sends and receives 32 datagrams a
-	 * second, whatever the size of the fleet.
+	 * Largest number of VMs in a round. With four rounds a second a VM sends and receives
+	 * 32 datagrams a second, whatever the size of the fleet.
 	 */
-	static final int PER_ROUND = 8;
+	static final int MAX_PER_ROUND = 8;
 
-	private @Nullable String last;
+	private @Nullable String lastAddress;
 
 	/**
-	 * Returns the VMs of the next round.
+	 * Selects the VMs of the next round.
 	 * @param addresses addresses of all other VMs
-	 * @return the addresses that are due
+	 * @return the selected addresses
 	 */
 	List<String> next(Collection<String> addresses) {
 		TreeSet<String> ordered = new TreeSet<>(addresses);
-		int size = Math.min(ordered.size(), PER_ROUND);
-		List<String> due = new ArrayList<>((this.last != null) ? ordered.tailSet(this.last, false) : ordered);
-		if (due.size() < size) {
-			ordered.removeAll(due);
-			due.addAll(ordered);
+		int size = Math.min(ordered.size(), MAX_PER_ROUND);
+		List<String> candidates = new ArrayList<>(
+				(this.lastAddress != null) ? ordered.tailSet(this.lastAddress, false) : ordered);
+		if (candidates.size() < size) {
+			ordered.removeAll(candidates);
+			candidates.addAll(ordered);
 		}
-		List<String> chosen = new ArrayList<>(due.subList(0, size));
-		this.last = chosen.isEmpty() ? null : chosen.get(size - 1);
+		List<String> chosen = new ArrayList<>(candidates.subList(0, size));
+		this.lastAddress = chosen.isEmpty() ? null : chosen.get(size - 1);
 		return chosen;
 	}
 
--- a/server/src/main/java/org/banyanstile/server/gossip/RowCompression.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/RowCompression.java
@@ -35,7 +35,7 @@
 		}
 	}
 
-	static byte[] expand(byte[] value) throws IOException {
+	static byte[] decompress(byte[] value) throws IOException {
 		Inflater inflater = new Inflater();
 		try {
 			inflater.setInput(value);
@@ -44,14 +44,14 @@
 			while (!inflater.finished()) {
 				int n = inflater.inflate(chunk);
 				if (n == 0 || out.size() > MAX_ROW_BYTES) {
-					throw new IOException("truncated or oversized row");
+					throw new IOException("compressed row is truncated or holds more than " + MAX_ROW_BYTES + " bytes");
 				}
 				out.write(chunk, 0, n);
 			}
 			return out.toByteArray();
 		}
 		catch (DataFormatException ex) {
-			throw new IOException("malformed compressed row", ex);
+			throw new IOException("compressed row is malformed", ex);
 		}
 		finally {
 			inflater.end();
--- a/server/src/main/java/org/banyanstile/server/gossip/VmRegistration.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/VmRegistration.java
@@ -16,32 +16,32 @@
 import org.banyanstile.server.view.VmRow;
 
 /**
- * Keeps the row of this VM in the store and knows the VMs of the fleet: those that are
- * registered and those that were heard. A VM that starts behind a cut learns from the
- * rows that there are others. The first VM removes rows of VMs that nobody has heard for
- * a minute; a VM that finds its row removed writes it again. Lock order: this object,
- * membership.
+ * Keeps the row of this VM in the store and tracks the VMs of the fleet: those that are
+ * registered and those whose heartbeats are received. A VM that starts in a network
+ * partition learns from the rows that there are others. The live VM with the lowest name
+ * removes rows of VMs without a heartbeat for a minute; a VM whose row was removed writes
+ * it again. Lock order: this object, membership.
  *
  * @author banyanstile contributors
  */
 public final class VmRegistration implements AutoCloseable {
 
 	/**
-	 * Pause between two reads of the rows in a small fleet. Other VMs are heard directly
-	 * within half a second, so only VMs behind a cut depend on it.
+	 * Pause between two reads of the rows in a small fleet. Heartbeats of other VMs
+	 * arrive within half a second, so only VMs in a network partition depend on the rows.
 	 */
-	private static final long READ_MILLIS = 10_000;
+	private static final long READ_INTERVAL_MILLIS = 10_000;
 
 	/**
-	 * VMs above which each reads less often, so that the calls of all VMs together stay
-	 * below one a second.
+	 * Number of VMs above which each reads less often, so that the calls of all VMs
+	 * together stay below one a second.
 	 */
 	private static final int SMALL_FLEET = 8;
 
 	/**
-	 * Pause after a failed call, some hundred times a usual answer.
+	 * Pause after a failed call, some hundred times the usual response time.
 	 */
-	private static final long RETRY_MILLIS = 600;
+	private static final long RETRY_DELAY_MILLIS = 600;
 
 	private final TableSource source;
 
@@ -63,9 +63,9 @@
 	}
 
 	/**
-	 * Creates the registration of a VM; it calls nobody before {@link #start}.
+	 * Creates the registration of a VM, which is idle until {@link #start} is called.
 	 * @param source the store
-	 * @param membership the VMs that are heard
+	 * @param membership the VMs whose heartbeats are received
 	 * @param ticker time source
 	 * @param log log of changes
 	 * @return the registration
@@ -86,61 +86,61 @@
 
 	private void run(Consumer<Collection<String>> addresses) {
 		while (!this.closed) {
-			long pause = RETRY_MILLIS;
+			long pause = RETRY_DELAY_MILLIS;
 			try {
-				addresses.accept(round());
-				pause = READ_MILLIS * Math.max(SMALL_FLEET, others().size()) / SMALL_FLEET;
+				addresses.accept(reconcile());
+				pause = READ_INTERVAL_MILLIS * Math.max(SMALL_FLEET, others().size()) / SMALL_FLEET;
 			}
 			catch (TableSourceException ex) {
-				this.log.problem("registration of this VM is tried again", ex);
+				this.log.problem("registration of this VM failed and will be retried", ex);
 			}
 			catch (RuntimeException ex) {
-				this.log.problem("a row of a VM is not usable", ex);
+				this.log.problem("a VM row of the store is invalid", ex);
 			}
 			pause(pause);
 		}
 	}
 
 	/**
-	 * Reads the rows, writes that of this VM if it is missing and, on the first VM,
-	 * removes those of VMs that are gone.
+	 * Reads the rows, writes that of this VM if it is missing and, on the VM of rank 0,
+	 * removes the rows of missing VMs.
 	 * @return addresses of the registered VMs
-	 * @throws TableSourceException if the store did not answer
+	 * @throws TableSourceException if the store did not respond
 	 */
-	List<String> round() throws TableSourceException {
+	List<String> reconcile() throws TableSourceException {
 		GossipMember self = this.membership.self();
 		List<VmRow> rows = this.source.registered();
-		boolean listed = rows.stream()
+		boolean hasOwnRow = rows.stream()
 			.anyMatch((row) -> row.vm().equals(self.vm()) && row.peerAddress().equals(self.peerAddress()));
-		if (!listed) {
+		if (!hasOwnRow) {
 			this.source.register(self.vm(), self.peerAddress());
 			this.log.belief("registered", "rows", rows.size());
 		}
-		Set<VmId> gone = note(rows);
+		Set<VmId> missing = updateRegistered(rows);
 		if (this.membership.rank(this.ticker.nanos()) == 0) {
 			for (VmRow row : rows) {
-				if (gone.contains(VmId.of(row.vm()))) {
+				if (missing.contains(VmId.of(row.vm()))) {
 					this.source.unregister(row);
 					this.log.belief("row of a VM removed", "vm", row.vm(), "version", row.version());
 				}
 			}
 		}
-		return rows.stream().filter((row) -> !gone.contains(VmId.of(row.vm()))).map(VmRow::peerAddress).toList();
+		return rows.stream().filter((row) -> !missing.contains(VmId.of(row.vm()))).map(VmRow::peerAddress).toList();
 	}
 
-	private synchronized Set<VmId> note(List<VmRow> rows) {
+	private synchronized Set<VmId> updateRegistered(List<VmRow> rows) {
 		long now = this.ticker.nanos();
-		Set<VmId> heard = new HashSet<>();
-		heard.add(VmId.of(this.membership.self().vm()));
-		this.membership.alivePeers(now).forEach((member) -> heard.add(VmId.of(member.vm())));
+		Set<VmId> alive = new HashSet<>();
+		alive.add(VmId.of(this.membership.self().vm()));
+		this.membership.alivePeers(now).forEach((member) -> alive.add(VmId.of(member.vm())));
 		this.registered.setNamed(rows.stream().map((row) -> VmId.of(row.vm())).toList());
-		this.registered.setListed(heard, now);
+		this.registered.setListed(alive, now);
 		return this.registered.missing();
 	}
 
 	/**
-	 * Returns the other VMs among which limits are shared: registered, or heard within
-	 * the last seconds.
+	 * Returns the other VMs among which limits are shared: those that are registered or
+	 * are not yet forgotten by the membership.
 	 * @return their names
 	 */
 	public synchronized Set<String> others() {
@@ -161,7 +161,7 @@
 	}
 
 	/**
-	 * Ends the thread after its current call.
+	 * Tells the thread to end after its current call.
 	 */
 	@Override
 	public void close() {
--- a/server/src/main/java/org/banyanstile/server/gossip/package-info.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Datagrams between VMs: membership, changed rows, loads and token use.
+ * Gossip between VMs by datagrams: membership, changed rows, loads and token use.
  */
 @NullMarked
 package org.banyanstile.server.gossip;
--- a/server/src/main/java/org/banyanstile/server/view/FleetView.java
+++ b/server/src/main/java/org/banyanstile/server/view/FleetView.java
@@ -37,8 +37,8 @@
 	static final long MASS_EXPIRY_GRACE_NANOS = 900_000_000L;
 
 	/**
-	 * Share of a service's ready endpoints whose removal in one update counts as mass
-	 * expiry. Planned work removes up to half of a small service.
+	 * Share of a service's endpoints whose removal in one update without draining counts
+	 * as mass expiry. Planned work removes up to half of a small service.
 	 */
 	static final double MASS_EXPIRY_SHARE = 0.75;
 
@@ -52,7 +52,7 @@
 
 	private final Map<String, RegisteredEndpoint> endpoints = new HashMap<>();
 
-	private final Map<String, Long> expiredUntil = new HashMap<>();
+	private final Map<String, Long> keptUntil = new HashMap<>();
 
 	private final Map<String, Long> coldUntil = new HashMap<>();
 
@@ -179,7 +179,7 @@
 	 */
 	public synchronized void dropExpired() {
 		long now = this.ticker.nanos();
-		if (this.expiredUntil.values().removeIf((until) -> until <= now)) {
+		if (this.keptUntil.values().removeIf((until) -> until <= now)) {
 			rebuild();
 		}
 	}
@@ -234,7 +234,7 @@
 			ReplicaRow row = replica.row(id);
 			RegisteredEndpoint old = this.endpoints.get(id);
 			if (row == null || row.value() == null) {
-				if (old != null && old.ready() && !this.expiredUntil.containsKey(id)) {
+				if (old != null && old.ready() && !this.keptUntil.containsKey(id)) {
 					removed.put(id, old);
 				}
 				else {
@@ -242,7 +242,7 @@
 				}
 				continue;
 			}
-			this.expiredUntil.remove(id);
+			this.keptUntil.remove(id);
 			decode(id, row.value(), old);
 		}
 		remove(removed);
@@ -283,7 +283,7 @@
 			boolean massExpiry = count >= 2
 					&& count >= MASS_EXPIRY_SHARE * readyByService.getOrDefault(endpoint.service(), 1);
 			if (massExpiry) {
-				this.expiredUntil.put(id, until);
+				this.keptUntil.put(id, until);
 			}
 			else {
 				this.endpoints.remove(id);
@@ -296,7 +296,7 @@
 
 	private void rebuild() {
 		TableReplica registered = replica(FleetTable.ENDPOINTS);
-		this.endpoints.keySet().removeIf((id) -> registered.row(id) == null && !this.expiredUntil.containsKey(id));
+		this.endpoints.keySet().removeIf((id) -> registered.row(id) == null && !this.keptUntil.containsKey(id));
 		Set<String> evacuated = new HashSet<>();
 		for (ReplicaRow row : replica(FleetTable.OPERATOR).rows()) {
 			String dataCentre = this.decoder.evacuatedDataCentre(row.key());
--- a/server/src/test/java/org/banyanstile/server/gossip/GossipNodeTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/GossipNodeTests.java
@@ -30,7 +30,7 @@
  */
 class GossipNodeTests {
 
-	private static final long PATIENCE_NANOS = 10_000_000_000L;
+	private static final long TIMEOUT_NANOS = 10_000_000_000L;
 
 	private final List<Vm> vms = new ArrayList<>();
 
@@ -47,7 +47,7 @@
 	}
 
 	private static void await(BooleanSupplier condition) throws InterruptedException {
-		long end = System.nanoTime() + PATIENCE_NANOS;
+		long end = System.nanoTime() + TIMEOUT_NANOS;
 		while (!condition.getAsBoolean()) {
 			assertThat("condition not met in time", System.nanoTime() - end < 0, is(true));
 			Thread.sleep(10);
@@ -63,12 +63,12 @@
 	}
 
 	@Test
-	void engineThatChangesItsPartIsKnownToOtherVms() throws Exception {
+	void engineThatChangesItsRoleIsKnownToOtherVms() throws Exception {
 		Vm one = start("vm-1");
 		Vm two = start("vm-2", one);
 		GossipChange change = new GossipChange("engine-1", EndpointPhase.PREFILL.ordinal(), 6000);
 		one.changes.add(change);
-		await(() -> two.heard.stream().anyMatch((state) -> state.changes().equals(List.of(change))));
+		await(() -> two.received.stream().anyMatch((state) -> state.changes().equals(List.of(change))));
 	}
 
 	@Test
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	 * A VM with a fake of what it serves.
+	 * A VM with a fake local state.
 	 */
 	private static final class Vm implements GossipNode.LocalState {
 
@@ -93,7 +93,7 @@
 
 		private final List<GossipChange> changes = new CopyOnWriteArrayList<>();
 
-		private final List<GossipState> heard = new CopyOnWriteArrayList<>();
+		private final List<GossipState> received = new CopyOnWriteArrayList<>();
 
 		private final GossipNode node;
 
@@ -140,13 +140,13 @@
 
 		@Override
 		public void received(GossipState next) {
-			this.heard.add(next);
+			this.received.add(next);
 		}
 
 	}
 
 	/**
-	 * Decoder of tables that stay empty.
+	 * Decoder for tables that stay empty.
 	 */
 	private static final class NoRows implements RowDecoder {
 
--- a/server/src/test/java/org/banyanstile/server/gossip/MembershipTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/MembershipTests.java
@@ -21,13 +21,13 @@
 
 	private final Membership membership = Membership.of(member("vm2", 5, 0, "dc1"));
 
-	private static GossipMember member(String vm, long incarnation, long beat, String dataCentre) {
-		return new GossipMember(vm, incarnation, beat, dataCentre, vm + ":80", vm + ":90",
+	private static GossipMember member(String vm, long incarnation, long heartbeat, String dataCentre) {
+		return new GossipMember(vm, incarnation, heartbeat, dataCentre, vm + ":80", vm + ":90",
 				MemberState.SERVING.ordinal());
 	}
 
 	@Test
-	void vmWhoseCounterStandsStillIsDead() {
+	void vmWhoseHeartbeatDoesNotAdvanceIsDead() {
 		this.membership.merge(List.of(member("vm1", 1, 7, "dc1")), 0);
 		this.membership.merge(List.of(member("vm1", 1, 7, "dc1")), 2 * SECOND);
 		assertThat(this.membership.alivePeers(2 * SECOND), hasSize(1));
@@ -35,20 +35,20 @@
 	}
 
 	@Test
-	void restartedVmIsAliveThoughItsCounterBeganAgain() {
+	void restartedVmIsAliveThoughItsHeartbeatIsLower() {
 		this.membership.merge(List.of(member("vm1", 1, 700, "dc1")), 0);
 		this.membership.merge(List.of(member("vm1", 2, 1, "dc1")), 3 * SECOND);
 		assertThat(this.membership.alivePeers(3 * SECOND), hasSize(1));
 	}
 
 	@Test
-	void vmOutlivesItsEarlierLifeAfterTheClockJumpedBack() {
+	void vmRaisesItsIncarnationAfterTheClockJumpedBack() {
 		this.membership.merge(List.of(member("vm2", 99, 7, "dc1")), 0);
 		assertThat(this.membership.self().incarnation(), is(greaterThan(99L)));
 	}
 
 	@Test
-	void rankCountsLivingVmsThatStandBefore() {
+	void rankCountsLiveVmsWithLowerNames() {
 		this.membership.merge(List.of(member("vm1", 1, 1, "dc2"), member("vm3", 1, 1, "dc1")), 0);
 		assertThat(this.membership.rank(0), is(1));
 		assertThat(this.membership.rank(3 * SECOND), is(0));
--- a/server/src/test/java/org/banyanstile/server/gossip/PeerRotationTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/PeerRotationTests.java
@@ -35,34 +35,36 @@
 	}
 
 	@Test
-	void nobodyIsDueInAFleetOfOne() {
+	void noVmIsSelectedInAFleetOfOne() {
 		assertThat(this.rotation.next(List.of()), empty());
 	}
 
 	@Test
-	void allVmsOfASmallFleetAreDueInEachRound() {
-		List<String> all = addresses(PeerRotation.PER_ROUND);
+	void allVmsOfASmallFleetAreSelectedInEachRound() {
+		List<String> all = addresses(PeerRotation.MAX_PER_ROUND);
 		for (int i = 0; i < 3; i++) {
 			assertThat(this.rotation.next(all), containsInAnyOrder(all.toArray()));
 		}
 	}
 
 	/**
-	 * A team's bucket counts a VM as silent a tenth after its turn should have come.
+	 * The shared quota of a team counts a VM as silent when a report is later than its
+	 * turn by a tenth.
 	 */
 	@Test
-	void everyVmHearsThisOneBeforeItCountsItAsSilent() {
+	void everyVmIsReachedBeforeItCountsTheSenderAsSilent() {
 		for (int count = 1; count <= 70; count++) {
-			Map<String, Integer> last = new HashMap<>();
+			Map<String, Integer> lastRounds = new HashMap<>();
 			List<String> all = addresses(count);
-			all.forEach((address) -> last.put(address, 0));
-			long silent = SharedQuota.silentNanos(count) / 250_000_000;
+			all.forEach((address) -> lastRounds.put(address, 0));
+			long silentRounds = SharedQuota.silentNanos(count) / 250_000_000;
 			for (int round = 1; round < 50; round++) {
 				for (String address : this.rotation.next(all)) {
-					last.put(address, round);
+					lastRounds.put(address, round);
 				}
 				int now = round;
-				last.values().forEach((heard) -> assertThat((long) now - heard, is(lessThanOrEqualTo(silent))));
+				lastRounds.values()
+					.forEach((last) -> assertThat((long) now - last, is(lessThanOrEqualTo(silentRounds))));
 			}
 		}
 	}
@@ -71,10 +73,10 @@
 	void roundOfALargeFleetIsBoundedAndReachesAllInTurn() {
 		List<String> all = addresses(1100);
 		Set<String> reached = new HashSet<>();
-		for (int round = 0; round * PeerRotation.PER_ROUND < all.size(); round++) {
-			List<String> due = this.rotation.next(all);
-			assertThat(due, hasSize(PeerRotation.PER_ROUND));
-			reached.addAll(due);
+		for (int round = 0; round * PeerRotation.MAX_PER_ROUND < all.size(); round++) {
+			List<String> selected = this.rotation.next(all);
+			assertThat(selected, hasSize(PeerRotation.MAX_PER_ROUND));
+			reached.addAll(selected);
 		}
 		assertThat(reached, hasSize(1100));
 	}
--- a/server/src/test/java/org/banyanstile/server/gossip/VmRegistrationTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/VmRegistrationTests.java
@@ -35,8 +35,8 @@
 	private final VmRegistration registration = VmRegistration.create(this.source, this.membership, () -> this.now,
 			DecisionLog.create());
 
-	private static GossipMember member(String vm, long beat) {
-		return new GossipMember(vm, 1, beat, "dc", "127.0.0.1:1", address(vm), MemberState.SERVING.ordinal());
+	private static GossipMember member(String vm, long heartbeat) {
+		return new GossipMember(vm, 1, heartbeat, "dc", "127.0.0.1:1", address(vm), MemberState.SERVING.ordinal());
 	}
 
 	private static String address(String vm) {
@@ -44,31 +44,31 @@
 	}
 
 	@Test
-	void knowsRegisteredVmsThatItHasNotHeard() throws Exception {
+	void knowsRegisteredVmsWithoutAHeartbeat() throws Exception {
 		this.source.add("vm1");
 		this.source.add("vm3");
-		assertThat(this.registration.round(), containsInAnyOrder(address("vm1"), address("vm3")));
+		assertThat(this.registration.reconcile(), containsInAnyOrder(address("vm1"), address("vm3")));
 		assertThat(this.registration.others(), containsInAnyOrder("vm1", "vm3"));
 	}
 
 	@Test
-	void firstVmRemovesTheRowOfOneThatNobodyHeardForAMinute() throws Exception {
+	void vmOfRankZeroRemovesTheRowOfAVmWithoutAHeartbeatForAMinute() throws Exception {
 		this.source.add("vm3");
-		this.registration.round();
+		this.registration.reconcile();
 		this.now += RegisteredVms.MISSING_NANOS;
-		this.registration.round();
+		this.registration.reconcile();
 		assertThat(this.source.names(), contains("vm2"));
 		assertThat(this.registration.others(), empty());
 	}
 
 	@Test
-	void rowOfAVmThatIsHeardStays() throws Exception {
+	void rowOfAVmWithHeartbeatsStays() throws Exception {
 		this.source.add("vm3");
-		this.registration.round();
+		this.registration.reconcile();
 		for (int i = 0; i < 8; i++) {
 			this.now += RegisteredVms.MISSING_NANOS / 6;
 			this.membership.merge(List.of(member("vm3", i + 1)), this.now);
-			this.registration.round();
+			this.registration.reconcile();
 		}
 		assertThat(this.source.names(), containsInAnyOrder("vm2", "vm3"));
 	}
@@ -77,24 +77,24 @@
 	void otherVmsRemoveNoRow() throws Exception {
 		this.source.add("vm1");
 		this.source.add("vm3");
-		this.registration.round();
+		this.registration.reconcile();
 		this.now += RegisteredVms.MISSING_NANOS;
 		this.membership.merge(List.of(member("vm1", 7)), this.now);
-		this.registration.round();
+		this.registration.reconcile();
 		assertThat(this.source.names(), containsInAnyOrder("vm1", "vm2", "vm3"));
 		assertThat(this.registration.others(), contains("vm1"));
 	}
 
 	@Test
 	void vmWritesItsRowAgainAfterItWasRemoved() throws Exception {
-		this.registration.round();
+		this.registration.reconcile();
 		this.source.rows.clear();
-		this.registration.round();
+		this.registration.reconcile();
 		assertThat(this.source.names(), contains("vm2"));
 	}
 
 	/**
-	 * Store with rows of VMs only.
+	 * Store that holds only rows of VMs.
 	 *
 	 * @author banyanstile contributors
 	 */
