--- a/server/src/test/java/org/banyanstile/server/view/FleetViewTests.java
+++ b/server/src/test/java/org/banyanstile/server/view/FleetViewTests.java
@@ -30,7 +30,7 @@
 	private static final long DRAIN_NANOS = 2_000_000_000L;
 
 	/**
-	 * Longest time that a removal takes to arrive while the store answers.
+	 * Longest time that a removal takes to arrive while the store responds.
 	 */
 	private static final long PROPAGATION_NANOS = 1_000_000_000L;
 
