--- a/server/src/main/java/org/banyanstile/server/caller/ChatRelay.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ChatRelay.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 import io.micrometer.core.instrument.Timer;
-import org.banyanstile.server.endpoint.AnswerStream;
 import org.banyanstile.server.endpoint.DecodeEvent;
+import org.banyanstile.server.endpoint.DecodeStream;
 import org.banyanstile.server.endpoint.EndpointException;
 import org.jspecify.annotations.Nullable;
 
@@ -88,8 +88,8 @@
 		String address = stream.slot().endpoint().address();
 		this.tokens.clear();
 		this.renewedAt = System.nanoTime();
-		try (AnswerStream answer = this.services.engine()
-			.answer(address, stream.requestId(), this.chat.maxTokens(), 0)) {
+		try (DecodeStream answer = this.services.engine()
+			.decode(address, stream.requestId(), this.chat.maxTokens(), 0)) {
 			announce(stream, bodyHash);
 			String finish = relay(answer, stream);
 			outcome = SlotOutcome.COMPLETED;
@@ -117,7 +117,7 @@
 		}
 	}
 
-	private String relay(AnswerStream answer, Handover stream) throws RequestException, EndpointException, IOException {
+	private String relay(DecodeStream answer, Handover stream) throws RequestException, EndpointException, IOException {
 		while (true) {
 			this.control.check();
 			renew(stream);
@@ -160,12 +160,12 @@
 		}
 	}
 
-	private void complete(String finish, String bodyHash, AnswerStream answer) throws IOException {
+	private void complete(String finish, String bodyHash, DecodeStream answer) throws IOException {
 		StreamKey present = this.key;
 		if (present != null) {
 			this.services.answers().remember(present, new RememberedAnswer(bodyHash, List.copyOf(this.tokens), finish));
 		}
-		this.services.metrics().resumed(this.labels, answer.resumes());
+		this.services.metrics().resumed(this.labels, answer.resumeCount());
 		this.output.finish(finish, this.tokens.size());
 		this.services.metrics().answered(this.labels);
 		long gaps = Math.max(1, this.tokens.size() - 1);
--- a/server/src/main/java/org/banyanstile/server/caller/ServiceDispatch.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServiceDispatch.java
@@ -5,8 +5,8 @@
 
 import org.banyanstile.server.endpoint.EndpointBrokenException;
 import org.banyanstile.server.endpoint.EndpointUnreachableException;
-import org.banyanstile.server.endpoint.ServiceAnswer;
 import org.banyanstile.server.endpoint.ServiceCall;
+import org.banyanstile.server.endpoint.ServiceResponse;
 
 /**
  * Sends one call to endpoints of a plain service. Used by one thread.
@@ -82,7 +82,7 @@
 		}
 	}
 
-	private static CallOutcome outcome(ServiceAnswer answer) {
+	private static CallOutcome outcome(ServiceResponse answer) {
 		StoredAnswer stored = stored(answer);
 		if (answer.status() < 400) {
 			return new CallOutcome.Answered(stored);
@@ -128,7 +128,7 @@
 	private StoredAnswer attempt() throws RequestException {
 		SlotDecision.Granted slot = slot();
 		try {
-			ServiceAnswer answer = send(slot);
+			ServiceResponse answer = send(slot);
 			if (answer.status() < 400) {
 				return stored(answer);
 			}
@@ -149,10 +149,11 @@
 		return this.finder.find(PoolRole.SERVICE, this.services.dataCentre(), this.requestId, this.waitMillis);
 	}
 
-	private ServiceAnswer send(SlotDecision.Granted slot) throws EndpointUnreachableException, EndpointBrokenException {
+	private ServiceResponse send(SlotDecision.Granted slot)
+			throws EndpointUnreachableException, EndpointBrokenException {
 		SlotOutcome outcome = SlotOutcome.BROKEN;
 		try {
-			ServiceAnswer answer = this.services.service().call(slot.endpoint().address(), this.call);
+			ServiceResponse answer = this.services.service().call(slot.endpoint().address(), this.call);
 			outcome = (answer.status() < 500) ? SlotOutcome.COMPLETED : SlotOutcome.FAILED;
 			return answer;
 		}
@@ -165,7 +166,7 @@
 		}
 	}
 
-	private static StoredAnswer stored(ServiceAnswer answer) {
+	private static StoredAnswer stored(ServiceResponse answer) {
 		return new StoredAnswer(answer.status(), answer.contentType(),
 				new String(answer.body(), StandardCharsets.UTF_8));
 	}
--- a/server/src/main/java/org/banyanstile/server/endpoint/DecodeEvent.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/DecodeEvent.java
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * The answer is complete.
+	 * The response is complete.
 	 *
-	 * @param offset number of tokens of the whole answer
+	 * @param offset number of tokens of the whole response
 	 * @param reason {@code stop} or {@code length}
 	 * @author banyanstile contributors
 	 */
@@ -30,7 +30,7 @@
 	}
 
 	/**
-	 * The engine sent nothing within the wait.
+	 * The engine sent nothing within the requested wait.
 	 *
 	 * @author banyanstile contributors
 	 */
--- a/server/src/main/java/org/banyanstile/server/endpoint/AnswerStream.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/DecodeStream.java
@@ -9,28 +9,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stream of generated text that survives broken connections: each chunk must carry the
- * request's identifier and the next offset; otherwise the connection is closed and the
- * stream resumes at the exact offset. Used by one thread.
+ * Stream of generated text that reconnects after a broken connection. Each chunk must
+ * carry the request's identifier and the next offset; otherwise the connection is closed
+ * and the stream resumes at the next offset. Used by one thread.
  *
  * @author banyanstile contributors
  */
-public final class AnswerStream implements AutoCloseable {
+public final class DecodeStream implements AutoCloseable {
 
-	private static final int MAX_LINE = 256 * 1024;
+	private static final int MAX_LINE_BYTES = 256 * 1024;
 
 	/**
-	 * Failures in a row without a new token before the stream is given up.
+	 * Number of failures without new data after which the stream is reported as lost.
 	 */
-	private static final int MAX_FAILURES = 6;
+	private static final int MAX_CONSECUTIVE_FAILURES = 6;
 
 	private static final long BACKOFF_MILLIS = 50;
 
 	/**
-	 * A healthy engine sends a token every 26 ms, so a connection that is silent this
-	 * long has probably lost its peer without a reset.
+	 * A healthy engine sends a token every 26 ms, so a connection without data for this
+	 * long is probably dead although no reset was received.
 	 */
-	private static final long SILENCE_NANOS = Duration.ofSeconds(5).toNanos();
+	private static final long SILENCE_TIMEOUT_NANOS = Duration.ofSeconds(5).toNanos();
 
 	private final EngineClient engine;
 
@@ -42,17 +42,17 @@
 
 	private long nextOffset;
 
-	private int failures;
+	private int consecutiveFailures;
 
-	private int resumes;
+	private int resumeCount;
 
-	private long lastEvent = System.nanoTime();
+	private long lastEventNanos = System.nanoTime();
 
 	private boolean opened;
 
 	private @Nullable HttpResponse connection;
 
-	AnswerStream(EngineClient engine, String address, String requestId, int maxTokens, long fromOffset) {
+	DecodeStream(EngineClient engine, String address, String requestId, int maxTokens, long fromOffset) {
 		this.engine = engine;
 		this.address = address;
 		this.requestId = requestId;
@@ -62,48 +62,49 @@
 
 	/**
 	 * Waits for the next event.
-	 * @param wait longest wait for it
+	 * @param wait maximum time to wait
 	 * @return the event
-	 * @throws StreamLostException if the engine lost the stream or stays unreachable
+	 * @throws StreamLostException if the engine lost the stream or it could not be
+	 * resumed
 	 * @throws EndpointException if the engine refused to start the stream
 	 */
 	public DecodeEvent next(Duration wait) throws EndpointException {
 		try {
 			DecodeEvent event = read(connect(wait), wait);
 			if (!(event instanceof DecodeEvent.Silent)) {
-				this.failures = 0;
+				this.consecutiveFailures = 0;
 			}
 			return event;
 		}
 		catch (EndpointRefusedException ex) {
 			close();
 			if (!this.opened || ex.status() == 429 || ex.status() == 503) {
-				return refused(ex);
+				return handleRefusal(ex);
 			}
 			throw new StreamLostException("engine no longer has the stream", ex);
 		}
 		catch (EndpointUnreachableException | EndpointBrokenException ex) {
 			close();
-			return isOnlySilent(ex) ? new DecodeEvent.Silent() : failed(ex);
+			return isWithinSilenceTimeout(ex) ? new DecodeEvent.Silent() : recordFailure(ex);
 		}
 	}
 
-	private DecodeEvent refused(EndpointRefusedException ex) throws EndpointException {
+	private DecodeEvent handleRefusal(EndpointRefusedException ex) throws EndpointException {
 		if (!this.opened) {
 			throw ex;
 		}
-		return failed(ex);
+		return recordFailure(ex);
 	}
 
-	private DecodeEvent failed(EndpointException ex) throws EndpointException {
-		this.failures++;
-		this.resumes++;
-		this.lastEvent = System.nanoTime();
-		if (this.failures >= MAX_FAILURES || Thread.currentThread().isInterrupted()) {
-			throw new StreamLostException("engine stays unreachable", ex);
+	private DecodeEvent recordFailure(EndpointException ex) throws EndpointException {
+		this.consecutiveFailures++;
+		this.resumeCount++;
+		this.lastEventNanos = System.nanoTime();
+		if (this.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || Thread.currentThread().isInterrupted()) {
+			throw new StreamLostException("stream could not be resumed", ex);
 		}
 		try {
-			Thread.sleep(BACKOFF_MILLIS * this.failures);
+			Thread.sleep(BACKOFF_MILLIS * this.consecutiveFailures);
 		}
 		catch (InterruptedException interrupted) {
 			Thread.currentThread().interrupt();
@@ -111,9 +112,10 @@
 		return new DecodeEvent.Silent();
 	}
 
-	private boolean isOnlySilent(EndpointException ex) {
-		// An engine may send the head of its response together with the first token.
-		return ex.getCause() instanceof ResponseTimeoutException && System.nanoTime() - this.lastEvent < SILENCE_NANOS;
+	private boolean isWithinSilenceTimeout(EndpointException ex) {
+		// An engine may send the response head only together with the first token.
+		return ex.getCause() instanceof ResponseTimeoutException
+				&& System.nanoTime() - this.lastEventNanos < SILENCE_TIMEOUT_NANOS;
 	}
 
 	private HttpResponse connect(Duration wait) throws EndpointException {
@@ -122,7 +124,7 @@
 			current = this.engine.openDecode(this.address, this.requestId, this.maxTokens, this.nextOffset, wait);
 			this.connection = current;
 			this.opened = true;
-			this.lastEvent = System.nanoTime();
+			this.lastEventNanos = System.nanoTime();
 		}
 		return current;
 	}
@@ -130,21 +132,21 @@
 	private DecodeEvent read(HttpResponse response, Duration wait) throws EndpointException {
 		response.setReadTimeout(wait);
 		try {
-			String line = response.line(MAX_LINE);
+			String line = response.line(MAX_LINE_BYTES);
 			if (line == null) {
-				throw new EndpointBrokenException("stream ended before the answer was complete", null);
+				throw new EndpointBrokenException("stream ended before the response was complete", null);
 			}
-			this.lastEvent = System.nanoTime();
+			this.lastEventNanos = System.nanoTime();
 			return event(EndpointJson.read(line));
 		}
 		catch (ResponseTimeoutException ex) {
-			if (System.nanoTime() - this.lastEvent < SILENCE_NANOS) {
+			if (System.nanoTime() - this.lastEventNanos < SILENCE_TIMEOUT_NANOS) {
 				return new DecodeEvent.Silent();
 			}
-			throw new EndpointBrokenException("engine is silent", ex);
+			throw new EndpointBrokenException("engine sent nothing within the silence timeout", ex);
 		}
 		catch (HttpException ex) {
-			throw EngineClient.failure(ex);
+			throw EngineClient.toEndpointException(ex);
 		}
 	}
 
@@ -153,7 +155,7 @@
 			throw new EndpointBrokenException("chunk belongs to another request", null);
 		}
 		if (node.path("offset").asLong(-1) != this.nextOffset) {
-			throw new EndpointBrokenException("chunk is not at offset " + this.nextOffset, null);
+			throw new EndpointBrokenException("chunk does not have the expected offset " + this.nextOffset, null);
 		}
 		if (node.has("finish")) {
 			return new DecodeEvent.Finished(this.nextOffset, node.path("finish").asText());
@@ -173,15 +175,15 @@
 	}
 
 	/**
-	 * Returns how often the stream had to be resumed.
+	 * Returns how often the stream was resumed.
 	 * @return the number
 	 */
-	public int resumes() {
-		return this.resumes;
+	public int resumeCount() {
+		return this.resumeCount;
 	}
 
 	/**
-	 * Closes the connection; the engine keeps the stream.
+	 * Closes the connection without cancelling the stream at the engine.
 	 */
 	@Override
 	public void close() {
--- a/server/src/main/java/org/banyanstile/server/endpoint/EndpointBrokenException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EndpointBrokenException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The connection broke or stayed silent after the call may have been received.
+ * The connection broke or timed out, and the endpoint may have received the call.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/EndpointException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EndpointException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call of an endpoint failed.
+ * A call to an endpoint failed.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/EndpointJson.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EndpointJson.java
@@ -10,7 +10,7 @@
 
 /**
  * JSON of the endpoint protocols. Unknown members are ignored, since endpoints may be
- * newer than this program.
+ * newer than this router.
  *
  * @author banyanstile contributors
  */
@@ -50,7 +50,7 @@
 			return MAPPER.treeToValue(node, type);
 		}
 		catch (JsonProcessingException ex) {
-			throw new EndpointBrokenException("endpoint sent unexpected JSON", ex);
+			throw new EndpointBrokenException("endpoint sent JSON that does not match the protocol", ex);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/endpoint/EndpointRefusedException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EndpointRefusedException.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.endpoint;
 
 /**
- * The endpoint answered with an error status.
+ * The endpoint responded with an error.
  *
  * @author banyanstile contributors
  */
@@ -13,8 +13,8 @@
 
 	/**
 	 * Creates the exception.
-	 * @param status status code of the answer
-	 * @param error error text of the answer
+	 * @param status status code of the response
+	 * @param error error text of the response
 	 */
 	public EndpointRefusedException(int status, String error) {
 		super("status " + status + ": " + error, null);
--- a/server/src/main/java/org/banyanstile/server/endpoint/EndpointUnreachableException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EndpointUnreachableException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * No connection was made, so the endpoint did not receive the call.
+ * No connection was established, so the endpoint did not receive the call.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/EngineClient.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EngineClient.java
@@ -16,25 +16,25 @@
 import org.banyanstile.io.http.ResponseTimeoutException;
 
 /**
- * Client for the protocol of an engine. Safe for use by several threads.
+ * Client for the engine protocol. Thread-safe.
  *
  * @author banyanstile contributors
  */
 public final class EngineClient {
 
 	/**
-	 * A transfer that makes no progress for this long is given up, so that it can be
-	 * re-routed while the prefill result is retained, which is under a second.
+	 * A transfer without progress for this long is abandoned, so that the result can
+	 * still be transferred to another engine: it is retained for less than one second.
 	 */
-	static final Duration TRANSFER_PROGRESS = Duration.ofMillis(200);
+	static final Duration TRANSFER_STALL_TIMEOUT = Duration.ofMillis(200);
 
 	private static final Duration PREFILL_TIMEOUT = Duration.ofSeconds(20);
 
 	private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(2);
 
-	private static final int MAX_BODY = 4 * 1024 * 1024;
+	private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
 
-	private static final int MAX_LINE = 64 * 1024;
+	private static final int MAX_LINE_BYTES = 64 * 1024;
 
 	private final HttpClient http;
 
@@ -48,7 +48,7 @@
 	/**
 	 * Creates a client.
 	 * @param http the HTTP client
-	 * @param holder gives the VM and epoch in whose name calls are made
+	 * @param holder supplies the VM and epoch on whose behalf calls are made
 	 * @return the client
 	 */
 	public static EngineClient create(HttpClient http, Supplier<String> holder) {
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Returns the VM and epoch in whose name calls are made now.
+	 * Returns the VM and epoch on whose behalf calls are currently made.
 	 * @return the holder
 	 */
 	public String holder() {
@@ -68,50 +68,51 @@
 	 * @param address address of the engine
 	 * @param call parameters
 	 * @return the result
-	 * @throws EndpointException if the engine did not complete it
+	 * @throws EndpointException if the prefill failed
 	 */
 	public Prefill prefill(String address, PrefillCall call) throws EndpointException {
-		Map<String, Object> body = members(call.requestId());
+		Map<String, Object> body = commonMembers(call.requestId());
 		body.put("model", call.model());
 		body.put("prompt", call.prompt());
 		body.put("priority", call.priority());
 		HttpRequest request = HttpRequest.postJson(address, "/engine/v1/prefill", EndpointJson.write(body))
 			.withTimeout(PREFILL_TIMEOUT)
 			.withFreshConnection();
-		JsonNode answer = EndpointJson.read(text(request));
-		return new Prefill(answer.path("prefillId").asText(), address, answer.path("promptTokens").asInt());
+		JsonNode result = EndpointJson.read(sendForText(request));
+		return new Prefill(result.path("prefillId").asText(), address, result.path("promptTokens").asInt());
 	}
 
 	/**
-	 * Makes a decode engine fetch a prefill result, and waits until it has it.
+	 * Makes a decode engine fetch a prefill result, and waits for the transfer to
+	 * complete.
 	 * @param address address of the decode engine
 	 * @param requestId identifier of the request
 	 * @param prefill the result to fetch
-	 * @throws TransferStalledException if there was no progress for 200 ms
+	 * @throws TransferStalledException if the transfer made no progress for 200 ms
 	 * @throws EndpointException if the transfer failed
 	 */
 	public void importKv(String address, String requestId, Prefill prefill) throws EndpointException {
-		Map<String, Object> body = members(requestId);
+		Map<String, Object> body = commonMembers(requestId);
 		body.put("source", prefill.source());
 		body.put("prefillId", prefill.prefillId());
 		HttpRequest request = HttpRequest.postJson(address, "/engine/v1/kv/import", EndpointJson.write(body))
-			.withTimeout(TRANSFER_PROGRESS)
+			.withTimeout(TRANSFER_STALL_TIMEOUT)
 			.withFreshConnection();
 		try (HttpResponse response = this.http.send(request)) {
 			requireSuccess(response);
 			awaitTransfer(response);
 		}
 		catch (ResponseTimeoutException ex) {
-			throw new TransferStalledException("transfer to " + address + " made no progress", ex);
+			throw new TransferStalledException("KV transfer to " + address + " timed out", ex);
 		}
 		catch (HttpException ex) {
-			throw failure(ex);
+			throw toEndpointException(ex);
 		}
 	}
 
 	private static void awaitTransfer(HttpResponse response) throws HttpException, EndpointException {
-		TransferProgress progress = new TransferProgress(System.nanoTime(), TRANSFER_PROGRESS.toNanos());
-		String line = response.line(MAX_LINE);
+		TransferProgress progress = new TransferProgress(System.nanoTime(), TRANSFER_STALL_TIMEOUT.toNanos());
+		String line = response.line(MAX_LINE_BYTES);
 		while (line != null) {
 			JsonNode node = EndpointJson.read(line);
 			if (node.path("done").asBoolean()) {
@@ -121,24 +122,25 @@
 				throw new EndpointRefusedException(410, node.path("error").asText());
 			}
 			progress.update(node.path("pieces").asLong(), System.nanoTime());
-			line = response.line(MAX_LINE);
+			line = response.line(MAX_LINE_BYTES);
 		}
-		throw new EndpointBrokenException("transfer ended before it was done", null);
+		throw new EndpointBrokenException("KV transfer ended before it was complete", null);
 	}
 
 	/**
 	 * Opens the stream of generated text at an offset.
 	 * @param address address of the decode engine
 	 * @param requestId identifier of the request
-	 * @param maxTokens longest answer
+	 * @param maxTokens maximum number of generated tokens
 	 * @param fromOffset offset of the first token to send
-	 * @param wait longest wait for the connection, and again for the response head
-	 * @return the connection, which the caller must close
+	 * @param wait maximum time to wait for the connection, and again for the response
+	 * head
+	 * @return the response, which the caller must close
 	 * @throws EndpointException if the engine refused or cannot be reached
 	 */
 	HttpResponse openDecode(String address, String requestId, int maxTokens, long fromOffset, Duration wait)
 			throws EndpointException {
-		Map<String, Object> body = members(requestId);
+		Map<String, Object> body = commonMembers(requestId);
 		body.put("maxTokens", maxTokens);
 		body.put("fromOffset", fromOffset);
 		HttpRequest request = HttpRequest.postJson(address, "/engine/v1/decode", EndpointJson.write(body))
@@ -150,28 +152,27 @@
 			return response;
 		}
 		catch (HttpException ex) {
-			throw failure(ex);
+			throw toEndpointException(ex);
 		}
 	}
 
 	/**
-	 * Returns a stream of generated text that resumes by itself after a broken
-	 * connection.
+	 * Returns a stream of generated text that resumes after a broken connection.
 	 * @param address address of the decode engine
 	 * @param requestId identifier of the request
-	 * @param maxTokens longest answer
+	 * @param maxTokens maximum number of generated tokens
 	 * @param fromOffset offset of the first token
 	 * @return the stream, not yet connected
 	 */
-	public AnswerStream answer(String address, String requestId, int maxTokens, long fromOffset) {
-		return new AnswerStream(this, address, requestId, maxTokens, fromOffset);
+	public DecodeStream decode(String address, String requestId, int maxTokens, long fromOffset) {
+		return new DecodeStream(this, address, requestId, maxTokens, fromOffset);
 	}
 
 	/**
-	 * Cancels a request and frees its memory.
+	 * Cancels a request and frees its memory at the engine.
 	 * @param address address of the engine
 	 * @param requestId identifier of the request
-	 * @return whether the engine confirmed that the request no longer exists there
+	 * @return whether the engine confirmed that the request no longer exists
 	 */
 	public boolean cancel(String address, String requestId) {
 		HttpRequest request = HttpRequest
@@ -179,7 +180,7 @@
 			.withTimeout(CONTROL_TIMEOUT)
 			.withFreshConnection();
 		try {
-			text(request);
+			sendForText(request);
 			return true;
 		}
 		catch (EndpointRefusedException ex) {
@@ -194,12 +195,12 @@
 	 * Lists the streams of an engine.
 	 * @param address address of the engine
 	 * @return the streams
-	 * @throws EndpointException if the engine did not answer
+	 * @throws EndpointException if the call failed
 	 */
 	public List<EngineStream> streams(String address) throws EndpointException {
 		HttpRequest request = HttpRequest.get(address, "/engine/v1/streams").withTimeout(CONTROL_TIMEOUT);
 		List<EngineStream> streams = new ArrayList<>();
-		for (JsonNode node : EndpointJson.read(text(request)).path("streams")) {
+		for (JsonNode node : EndpointJson.read(sendForText(request)).path("streams")) {
 			streams.add(EndpointJson.convert(node, EngineStream.class));
 		}
 		return streams;
@@ -209,40 +210,40 @@
 	 * Reads the load report of an engine.
 	 * @param address address of the engine
 	 * @return the report
-	 * @throws EndpointException if the engine did not answer
+	 * @throws EndpointException if the call failed
 	 */
 	public EngineLoad load(String address) throws EndpointException {
 		HttpRequest request = HttpRequest.get(address, "/engine/v1/load").withTimeout(CONTROL_TIMEOUT);
-		return EndpointJson.convert(EndpointJson.read(text(request)), EngineLoad.class);
+		return EndpointJson.convert(EndpointJson.read(sendForText(request)), EngineLoad.class);
 	}
 
-	private Map<String, Object> members(String requestId) {
+	private Map<String, Object> commonMembers(String requestId) {
 		Map<String, Object> members = new LinkedHashMap<>();
 		members.put("requestId", requestId);
 		members.put("holder", this.holder.get());
 		return members;
 	}
 
-	private String text(HttpRequest request) throws EndpointException {
+	private String sendForText(HttpRequest request) throws EndpointException {
 		try (HttpResponse response = this.http.send(request)) {
 			requireSuccess(response);
-			return response.text(MAX_BODY);
+			return response.text(MAX_BODY_BYTES);
 		}
 		catch (HttpException ex) {
-			throw failure(ex);
+			throw toEndpointException(ex);
 		}
 	}
 
 	private static void requireSuccess(HttpResponse response) throws EndpointException, HttpException {
 		if (response.status() != 200) {
 			try (response) {
-				String error = EndpointJson.read(response.text(MAX_LINE)).path("error").asText();
+				String error = EndpointJson.read(response.text(MAX_LINE_BYTES)).path("error").asText();
 				throw new EndpointRefusedException(response.status(), error);
 			}
 		}
 	}
 
-	static EndpointException failure(HttpException ex) {
+	static EndpointException toEndpointException(HttpException ex) {
 		if (ex instanceof ConnectFailedException) {
 			return new EndpointUnreachableException("endpoint cannot be reached", ex);
 		}
--- a/server/src/main/java/org/banyanstile/server/endpoint/EngineLoad.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EngineLoad.java
@@ -1,13 +1,13 @@
 package org.banyanstile.server.endpoint;
 
 /**
- * Load that an engine reports, with a lag.
+ * Load as reported by an engine. The report may be out of date.
  *
  * @param active number of running requests
- * @param capacity number of requests that it can run
- * @param kvPiecesUsed pieces of KV memory in use
- * @param kvPieces pieces of KV memory
- * @param cold whether it is in cold start
+ * @param capacity number of requests that the engine can run at once
+ * @param kvPiecesUsed pieces of KV cache memory in use
+ * @param kvPieces total pieces of KV cache memory
+ * @param cold whether the engine is in cold start
  * @param ageMillis age of the report
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/Prefill.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/Prefill.java
@@ -1,10 +1,10 @@
 package org.banyanstile.server.endpoint;
 
 /**
- * Result of a prefill, retained by the engine for under a second.
+ * Result of a prefill. The engine retains it for less than one second.
  *
- * @param prefillId identifier at the engine that computed it
- * @param source address of that engine
+ * @param prefillId identifier that the prefill engine assigned to the result
+ * @param source address of the prefill engine
  * @param promptTokens number of prompt tokens
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/PrefillCall.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/PrefillCall.java
@@ -6,7 +6,7 @@
  * @param requestId identifier of the request
  * @param model name of the model
  * @param prompt the prompt
- * @param priority priority, higher is more urgent
+ * @param priority priority; a higher value is more urgent
  * @author banyanstile contributors
  */
 public record PrefillCall(String requestId, String model, String prompt, int priority) {
--- a/server/src/main/java/org/banyanstile/server/endpoint/ServiceCall.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/ServiceCall.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * A call of a plain service.
+ * A call to a plain service.
  *
- * @param method request method
+ * @param method HTTP method
  * @param path path with query
- * @param headers header fields to forward, without any key
+ * @param headers header fields to send; they contain no API key
  * @param body the body
- * @param timeout longest wait for the answer
+ * @param timeout maximum time to wait for the response
  * @author banyanstile contributors
  */
 public record ServiceCall(String method, String path, Map<String, String> headers, byte[] body, Duration timeout) {
--- a/server/src/main/java/org/banyanstile/server/endpoint/ServiceClient.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/ServiceClient.java
@@ -14,7 +14,7 @@
  */
 public final class ServiceClient {
 
-	private static final int MAX_ANSWER = 1024 * 1024;
+	private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
 
 	private final HttpClient http;
 
@@ -35,22 +35,24 @@
 	 * Makes a call.
 	 * @param address address of the service
 	 * @param call the call
-	 * @return the answer, of any status
+	 * @return the response, whatever its status
 	 * @throws EndpointUnreachableException if the service did not receive the call
-	 * @throws EndpointBrokenException if it may have received the call but did not answer
+	 * @throws EndpointBrokenException if the service may have received the call but no
+	 * complete response arrived
 	 */
-	public ServiceAnswer call(String address, ServiceCall call)
+	public ServiceResponse call(String address, ServiceCall call)
 			throws EndpointUnreachableException, EndpointBrokenException {
 		HttpRequest request = new HttpRequest(call.method(), address, call.path(), call.headers(), call.body(),
 				call.timeout(), true);
 		try (HttpResponse response = this.http.send(request)) {
-			return new ServiceAnswer(response.status(), response.header("Content-Type"), response.bytes(MAX_ANSWER));
+			return new ServiceResponse(response.status(), response.header("Content-Type"),
+					response.bytes(MAX_RESPONSE_BYTES));
 		}
 		catch (ConnectFailedException ex) {
 			throw new EndpointUnreachableException("service cannot be reached", ex);
 		}
 		catch (HttpException ex) {
-			throw new EndpointBrokenException("service did not answer", ex);
+			throw new EndpointBrokenException("no complete response from the service", ex);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/endpoint/StreamLostException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/StreamLostException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The engine no longer has the stream, or it cannot be reached any more.
+ * The engine no longer has the stream, or the stream could not be resumed.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/endpoint/TransferProgress.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/TransferProgress.java
@@ -1,30 +1,30 @@
 package org.banyanstile.server.endpoint;
 
 /**
- * Notices a transfer that sends lines without moving on.
+ * Detects a transfer that sends progress lines while the number of pieces does not grow.
  *
  * @author banyanstile contributors
  */
 final class TransferProgress {
 
-	private final long limitNanos;
+	private final long stallTimeoutNanos;
 
-	private long lastPieces = -1;
+	private long maxPieces = -1;
 
-	private long lastChange;
+	private long lastProgressNanos;
 
-	TransferProgress(long now, long limitNanos) {
-		this.lastChange = now;
-		this.limitNanos = limitNanos;
+	TransferProgress(long nowNanos, long stallTimeoutNanos) {
+		this.lastProgressNanos = nowNanos;
+		this.stallTimeoutNanos = stallTimeoutNanos;
 	}
 
-	void update(long pieces, long now) throws TransferStalledException {
-		if (pieces > this.lastPieces) {
-			this.lastPieces = pieces;
-			this.lastChange = now;
+	void update(long pieces, long nowNanos) throws TransferStalledException {
+		if (pieces > this.maxPieces) {
+			this.maxPieces = pieces;
+			this.lastProgressNanos = nowNanos;
 		}
-		else if (now - this.lastChange >= this.limitNanos) {
-			throw new TransferStalledException("transfer stays at " + pieces + " pieces", null);
+		else if (nowNanos - this.lastProgressNanos >= this.stallTimeoutNanos) {
+			throw new TransferStalledException("KV transfer stalled at " + pieces + " pieces", null);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/endpoint/TransferStalledException.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/TransferStalledException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A KV transfer made no progress for the permitted time.
+ * A KV transfer made no progress within the stall timeout.
  *
  * @author banyanstile contributors
  */
