--- a/server/src/main/java/org/banyanstile/server/caller/AbortReason.java
+++ b/server/src/main/java/org/banyanstile/server/caller/AbortReason.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.caller;
 
 /**
- * Why a running request is ended from outside.
+ * Why a running request is aborted.
  *
  * @author banyanstile contributors
  */
@@ -13,26 +13,26 @@
 	CALLER_GONE,
 
 	/**
-	 * A repeat with the same idempotency key takes over.
+	 * A newer request with the same idempotency key takes over.
 	 */
 	SUPERSEDED,
 
 	/**
-	 * The caller's key was withdrawn.
+	 * The caller's API key was withdrawn.
 	 */
 	KEY_WITHDRAWN,
 
 	/**
-	 * This VM may no longer serve.
+	 * This VM is no longer allowed to serve.
 	 */
 	NOT_SERVING;
 
-	RequestException error() {
+	RequestException toException() {
 		return switch (this) {
 			case CALLER_GONE -> RequestException.unknown(ErrorType.OUTCOME_UNKNOWN, "the caller disconnected");
-			case SUPERSEDED ->
-				RequestException.unknown(ErrorType.SUPERSEDED, "a repeat with the same idempotency key took over");
-			case KEY_WITHDRAWN -> RequestException.unknown(ErrorType.UNAUTHORIZED, "the key was withdrawn");
+			case SUPERSEDED -> RequestException.unknown(ErrorType.SUPERSEDED,
+					"a newer request with the same idempotency key took over");
+			case KEY_WITHDRAWN -> RequestException.unknown(ErrorType.UNAUTHORIZED, "the API key was withdrawn");
 			case NOT_SERVING -> RequestException.unknown(ErrorType.NOT_SERVING, "this VM stopped serving");
 		};
 	}
--- a/server/src/main/java/org/banyanstile/server/caller/AnswerMemory.java
+++ b/server/src/main/java/org/banyanstile/server/caller/AnswerMemory.java
@@ -9,8 +9,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps finished answers for a short time in bounded memory, so that a repeat whose first
- * answer was lost on the way gets the same answer.
+ * Cache of complete responses with bounded size and age, so that a repeated request whose
+ * first response was lost gets the same response.
  *
  * @author banyanstile contributors
  */
@@ -33,34 +33,34 @@
 	}
 
 	/**
-	 * Creates a memory.
-	 * @param retention how long an answer is kept
-	 * @param maxBytes most bytes of all answers
+	 * Creates a cache.
+	 * @param retention how long a response is kept
+	 * @param maxBytes maximum size of all responses in bytes
 	 * @param ticker time source
-	 * @return the memory
+	 * @return the cache
 	 */
 	public static AnswerMemory create(Duration retention, long maxBytes, Ticker ticker) {
 		return new AnswerMemory(retention.toNanos(), maxBytes, ticker);
 	}
 
-	synchronized void remember(StreamKey key, RememberedAnswer answer) {
-		long size = answer.bytes();
+	synchronized void put(StreamKey key, CachedResponse response) {
+		long size = response.bytes();
 		if (size > this.maxBytes) {
 			return;
 		}
-		Entry old = this.entries.remove(key);
-		if (old != null) {
-			this.bytes -= old.answer().bytes();
+		Entry replaced = this.entries.remove(key);
+		if (replaced != null) {
+			this.bytes -= replaced.response().bytes();
 		}
-		this.entries.put(key, new Entry(answer, this.ticker.nanos()));
+		this.entries.put(key, new Entry(response, this.ticker.nanos()));
 		this.bytes += size;
 		evict();
 	}
 
-	synchronized @Nullable RememberedAnswer find(StreamKey key) {
+	synchronized @Nullable CachedResponse find(StreamKey key) {
 		evict();
 		Entry entry = this.entries.get(key);
-		return (entry != null) ? entry.answer() : null;
+		return (entry != null) ? entry.response() : null;
 	}
 
 	private void evict() {
@@ -68,22 +68,22 @@
 		Iterator<Entry> oldest = this.entries.values().iterator();
 		while (oldest.hasNext()) {
 			Entry entry = oldest.next();
-			if (this.bytes <= this.maxBytes && now - entry.since() < this.retentionNanos) {
+			if (this.bytes <= this.maxBytes && now - entry.addedAtNanos() < this.retentionNanos) {
 				return;
 			}
-			this.bytes -= entry.answer().bytes();
+			this.bytes -= entry.response().bytes();
 			oldest.remove();
 		}
 	}
 
 	/**
-	 * An answer and when it was complete.
+	 * A cached response.
 	 *
-	 * @param answer the answer
-	 * @param since time in nanoseconds
+	 * @param response the response
+	 * @param addedAtNanos when the response was added
 	 * @author banyanstile contributors
 	 */
-	private record Entry(RememberedAnswer answer, long since) {
+	private record Entry(CachedResponse response, long addedAtNanos) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/RememberedAnswer.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CachedResponse.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * Answer of a finished request for generated text.
+ * Complete response to a request for generated text.
  *
  * @param bodyHash SHA-256 of the request body, in hexadecimal
  * @param tokens text of each token
  * @param finish {@code stop} or {@code length}
  * @author banyanstile contributors
  */
-record RememberedAnswer(String bodyHash, List<String> tokens, String finish) {
+record CachedResponse(String bodyHash, List<String> tokens, String finish) {
 
 	/**
-	 * Bytes of a token in memory besides its characters: string, array and reference.
+	 * Memory of a token in addition to its characters: string, array and reference.
 	 */
-	private static final int TOKEN_OVERHEAD = 56;
+	private static final int TOKEN_OVERHEAD_BYTES = 56;
 
 	long bytes() {
 		long bytes = 2L * this.bodyHash.length();
 		for (String token : this.tokens) {
-			bytes += TOKEN_OVERHEAD + 2L * token.length();
+			bytes += TOKEN_OVERHEAD_BYTES + 2L * token.length();
 		}
 		return bytes;
 	}
--- a/server/src/main/java/org/banyanstile/server/caller/CallControl.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallControl.java
@@ -5,32 +5,32 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Lets other threads end a running request. The first reason wins.
+ * Lets other threads abort a running request. Only the first abort has an effect.
  *
  * @author banyanstile contributors
  */
 final class CallControl {
 
-	private static final Runnable NOTHING = () -> {
+	private static final Runnable NO_ACTION = () -> {
 	};
 
 	private final AtomicReference<@Nullable AbortReason> reason = new AtomicReference<>();
 
-	private final AtomicReference<Runnable> interruption = new AtomicReference<>(NOTHING);
+	private final AtomicReference<Runnable> abortAction = new AtomicReference<>(NO_ACTION);
 
 	/**
-	 * Ends the request. Runs the interruption that is set, if any.
-	 * @param why the reason
+	 * Aborts the request and runs the abort action, if one is set.
+	 * @param abortReason the reason
 	 */
-	void abort(AbortReason why) {
-		if (this.reason.compareAndSet(null, why)) {
-			this.interruption.getAndSet(NOTHING).run();
+	void abort(AbortReason abortReason) {
+		if (this.reason.compareAndSet(null, abortReason)) {
+			this.abortAction.getAndSet(NO_ACTION).run();
 		}
 	}
 
 	/**
-	 * Returns why the request must end.
-	 * @return the reason, or {@code null} if it goes on
+	 * Returns why the request was aborted.
+	 * @return the reason, or {@code null} if it was not aborted
 	 */
 	@Nullable
 	AbortReason reason() {
@@ -38,31 +38,32 @@
 	}
 
 	/**
-	 * Throws if the request must end.
-	 * @throws RequestException if it must
+	 * Throws if the request was aborted.
+	 * @throws RequestException if it was
 	 */
-	void check() throws RequestException {
-		AbortReason why = this.reason.get();
-		if (why != null) {
-			throw why.error();
+	void throwIfAborted() throws RequestException {
+		AbortReason abortReason = this.reason.get();
+		if (abortReason != null) {
+			throw abortReason.toException();
 		}
 	}
 
 	/**
-	 * Sets what makes a blocking step end early, such as a cancellation at the engine.
+	 * Sets the action that ends a blocking step early, such as a cancellation at the
+	 * engine.
 	 * @param action the action, run at most once, by the aborting thread
-	 * @throws RequestException if the request must end already
+	 * @throws RequestException if the request was already aborted
 	 */
 	void onAbort(Runnable action) throws RequestException {
-		this.interruption.set(action);
-		check();
+		this.abortAction.set(action);
+		throwIfAborted();
 	}
 
 	/**
-	 * Removes the interruption of a step that has ended.
+	 * Removes the abort action of a step that has ended.
 	 */
-	void clear() {
-		this.interruption.set(NOTHING);
+	void clearAbortAction() {
+		this.abortAction.set(NO_ACTION);
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/CallOutcome.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallOutcome.java
@@ -1,16 +1,16 @@
 package org.banyanstile.server.caller;
 
 /**
- * Outcome of a once-only call.
+ * Outcome of a call that must run at most once.
  *
  * @author banyanstile contributors
  */
 public sealed interface CallOutcome {
 
 	/**
-	 * The endpoint ran the call and answered.
+	 * The endpoint ran the call and sent a response.
 	 *
-	 * @param answer the answer
+	 * @param answer the response
 	 * @author banyanstile contributors
 	 */
 	record Answered(StoredAnswer answer) implements CallOutcome {
@@ -20,7 +20,7 @@
 	/**
 	 * The call did not run and will not run.
 	 *
-	 * @param reason why, one of {@link NotRunReason}
+	 * @param reason the reason
 	 * @author banyanstile contributors
 	 */
 	record NotRun(NotRunReason reason) implements CallOutcome {
@@ -30,7 +30,7 @@
 	/**
 	 * The endpoint refused the call.
 	 *
-	 * @param answer the answer
+	 * @param answer the response
 	 * @author banyanstile contributors
 	 */
 	record RefusedByEndpoint(StoredAnswer answer) implements CallOutcome {
--- a/server/src/main/java/org/banyanstile/server/caller/CallWatch.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallWatch.java
@@ -10,18 +10,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Watches all running requests from one thread: polls the connections of their callers,
- * the keys and the serving check. Without it a request that waits for a silent endpoint
- * would notice nothing.
+ * Monitors all running requests from one thread: polls the connections of their callers,
+ * the validity of their keys and the serving check. A request that waits for a silent
+ * endpoint could not check these itself.
  *
  * @author banyanstile contributors
  */
 public final class CallWatch implements AutoCloseable {
 
 	/**
-	 * A disconnect must reach the engine within 1 s, so polling uses a quarter of it.
+	 * A disconnect must reach the engine within 1 s; polling may use a quarter of this.
 	 */
-	private static final long PERIOD_MILLIS = 250;
+	private static final long POLL_INTERVAL_MILLIS = 250;
 
 	private final ConfigurationView configuration;
 
@@ -31,12 +31,12 @@
 
 	private final ScheduledExecutorService timer;
 
-	private final Executor actions;
+	private final Executor abortExecutor;
 
-	private CallWatch(ConfigurationView configuration, ServingCheck serving, Executor actions) {
+	private CallWatch(ConfigurationView configuration, ServingCheck serving, Executor abortExecutor) {
 		this.configuration = configuration;
 		this.serving = serving;
-		this.actions = actions;
+		this.abortExecutor = abortExecutor;
 		this.timer = Executors.newSingleThreadScheduledExecutor((task) -> {
 			Thread thread = new Thread(task, "call-watch");
 			thread.setDaemon(true);
@@ -45,15 +45,16 @@
 	}
 
 	/**
-	 * Starts a watch.
+	 * Starts monitoring.
 	 * @param configuration the configuration
 	 * @param serving the serving check
-	 * @param actions runs the interruptions, which may block
-	 * @return the watch
+	 * @param abortExecutor runs the aborts, which may block
+	 * @return the monitor
 	 */
-	public static CallWatch start(ConfigurationView configuration, ServingCheck serving, Executor actions) {
-		CallWatch watch = new CallWatch(configuration, serving, actions);
-		watch.timer.scheduleWithFixedDelay(watch::poll, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+	public static CallWatch start(ConfigurationView configuration, ServingCheck serving, Executor abortExecutor) {
+		CallWatch watch = new CallWatch(configuration, serving, abortExecutor);
+		watch.timer.scheduleWithFixedDelay(watch::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS,
+				TimeUnit.MILLISECONDS);
 		return watch;
 	}
 
@@ -74,7 +75,7 @@
 		for (Watched watched : this.calls) {
 			AbortReason reason = reason(watched, mayServe, current);
 			if (reason != null && watched.control().reason() == null) {
-				this.actions.execute(() -> watched.control().abort(reason));
+				this.abortExecutor.execute(() -> watched.control().abort(reason));
 			}
 		}
 	}
@@ -104,10 +105,10 @@
 	}
 
 	/**
-	 * A request that is watched.
+	 * A monitored request.
 	 *
-	 * @param control ends it
-	 * @param connection connection of its caller
+	 * @param control aborts the request
+	 * @param connection connection of the caller
 	 * @param caller team and key, or {@code null} on an open route
 	 * @author banyanstile contributors
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/CallerConnection.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallerConnection.java
@@ -7,9 +7,9 @@
 import io.undertow.server.protocol.http.HttpServerConnection;
 
 /**
- * Connection of a caller whose request was read completely, polled for its end. While a
- * request runs the server does not read from the connection, so the end would otherwise
- * be noticed only by a failing write.
+ * Connection of a caller whose request was read completely, polled for a disconnect.
+ * While a request runs the server does not read from the connection, so that without
+ * polling a disconnect is only detected by a failing write.
  *
  * @author banyanstile contributors
  */
@@ -17,10 +17,10 @@
 
 	private final HttpServerExchange exchange;
 
-	private boolean polled = true;
+	private boolean polling = true;
 
 	/**
-	 * Begins to poll the connection of an exchange.
+	 * Enables polling of the connection of an exchange.
 	 * @param exchange the exchange, whose request was read completely
 	 */
 	public CallerConnection(HttpServerExchange exchange) {
@@ -28,12 +28,12 @@
 	}
 
 	/**
-	 * Returns whether the caller has closed the connection. A read never blocks here.
-	 * Bytes of a pipelined request are given back to the server, and polling ends.
+	 * Returns whether the caller has closed the connection. Does not block. Bytes of a
+	 * pipelined request are returned to the server, and polling ends.
 	 * @return whether it is closed
 	 */
 	public synchronized boolean isClosed() {
-		if (!this.polled) {
+		if (!this.polling) {
 			return false;
 		}
 		if (!this.exchange.getConnection().isOpen()) {
@@ -44,31 +44,31 @@
 
 	private boolean poll(HttpServerConnection connection) {
 		PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
-		int n = -1;
+		int bytesRead = -1;
 		try {
-			n = connection.getOriginalSourceConduit().read(pooled.getBuffer());
+			bytesRead = connection.getOriginalSourceConduit().read(pooled.getBuffer());
 		}
 		catch (IOException ex) {
 			return true;
 		}
 		finally {
-			if (n <= 0) {
+			if (bytesRead <= 0) {
 				pooled.close();
 			}
 		}
-		if (n > 0) {
+		if (bytesRead > 0) {
 			pooled.getBuffer().flip();
 			connection.ungetRequestBytes(pooled);
-			this.polled = false;
+			this.polling = false;
 		}
-		return n < 0;
+		return bytesRead < 0;
 	}
 
 	/**
-	 * Ends polling, before the server reads the next request.
+	 * Ends polling. Must be called before the server reads the next request.
 	 */
 	public synchronized void stop() {
-		this.polled = false;
+		this.polling = false;
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/CallerJson.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallerJson.java
@@ -12,7 +12,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * JSON of the callers' interface.
+ * JSON of the HTTP interface for callers.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/caller/CallerRequest.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallerRequest.java
@@ -9,16 +9,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request whose head and body were read and whose key was checked.
+ * A request that was read completely and whose API key was checked.
  *
  * @param exchange the exchange
- * @param configuration the configuration that it was checked against
+ * @param configuration the configuration that the key was checked against
  * @param caller team and key, or {@code null} on an open route
- * @param presentedKey the presented key, to remove it from what is forwarded
+ * @param presentedKey the presented API key, which must not be forwarded
  * @param body the body
  * @param idempotencyKey the idempotency key, or {@code null}
  * @param lastEventId offset of the last event that the caller received, -1 for none
- * @param deadlineMillis longest time that the caller waits
+ * @param deadlineMillis maximum time that the caller waits
  * @author banyanstile contributors
  */
 record CallerRequest(HttpServerExchange exchange, ServingConfiguration configuration, @Nullable Caller caller,
@@ -31,9 +31,9 @@
 
 	private static final HttpString DEADLINE = new HttpString("X-Deadline-Ms");
 
-	private static final String BEARER = "Bearer ";
+	private static final String BEARER_PREFIX = "Bearer ";
 
-	private static final int MAX_KEY_LENGTH = 256;
+	private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 256;
 
 	private static final long MAX_DEADLINE_MILLIS = 600_000;
 
@@ -42,7 +42,7 @@
 		String key = presentedKey(exchange);
 		Caller caller = (key != null) ? configuration.authenticate(key) : null;
 		if (caller == null && (key != null || !open)) {
-			throw RequestException.notRun(ErrorType.UNAUTHORIZED, "no active key was presented");
+			throw RequestException.notRun(ErrorType.UNAUTHORIZED, "no active API key was presented");
 		}
 		byte[] body = RequestBody.read(exchange, configuration.limits().maxBodyBytes());
 		KeyScrubber.requireAbsent(body, key);
@@ -53,14 +53,15 @@
 
 	private static @Nullable String presentedKey(HttpServerExchange exchange) {
 		String value = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-		return (value != null && value.startsWith(BEARER)) ? value.substring(BEARER.length()).strip() : null;
+		return (value != null && value.startsWith(BEARER_PREFIX)) ? value.substring(BEARER_PREFIX.length()).strip()
+				: null;
 	}
 
 	private static @Nullable String idempotencyKey(HttpServerExchange exchange) throws RequestException {
 		String value = exchange.getRequestHeaders().getFirst(IDEMPOTENCY_KEY);
-		if (value != null && (value.isBlank() || value.length() > MAX_KEY_LENGTH)) {
+		if (value != null && (value.isBlank() || value.length() > MAX_IDEMPOTENCY_KEY_LENGTH)) {
 			throw RequestException.notRun(ErrorType.INVALID_REQUEST,
-					"Idempotency-Key must have 1 to " + MAX_KEY_LENGTH + " characters");
+					"Idempotency-Key must have 1 to " + MAX_IDEMPOTENCY_KEY_LENGTH + " characters");
 		}
 		return value;
 	}
@@ -78,13 +79,13 @@
 			}
 		}
 		catch (NumberFormatException ex) {
-			// The same message as for a negative number.
+			// Reported below, like a negative number.
 		}
-		throw RequestException.notRun(ErrorType.INVALID_REQUEST, header + " must be a whole number, at least 0");
+		throw RequestException.notRun(ErrorType.INVALID_REQUEST, header + " must be an integer of at least 0");
 	}
 
 	/**
-	 * Returns the hash of team and body, the same for every repeat.
+	 * Returns the hash of team and body, the same for every repeated request.
 	 * @return the hash in hexadecimal
 	 */
 	String fingerprint() {
--- a/server/src/main/java/org/banyanstile/server/caller/CallerServer.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CallerServer.java
@@ -20,8 +20,8 @@
 import org.xnio.Options;
 
 /**
- * Listener for callers. Requests run on a bounded pool of workers; a request beyond that
- * is refused at once by the I/O thread, which also answers the list of VMs.
+ * HTTP listener for callers. Requests run on a bounded pool of workers. If no worker is
+ * free, the I/O thread refuses the request at once. It also serves the list of VMs.
  *
  * @author banyanstile contributors
  */
@@ -37,9 +37,9 @@
 
 	private static final int IDLE_TIMEOUT_MILLIS = 60_000;
 
-	private static final int VALID_SECONDS = 10;
+	private static final int VM_LIST_VALIDITY_SECONDS = 10;
 
-	private static final long RETRY_MILLIS = 100;
+	private static final long RETRY_AFTER_MILLIS = 100;
 
 	private static final Logger logger = LogManager.getLogger(CallerServer.class);
 
@@ -66,10 +66,10 @@
 
 	/**
 	 * Starts the listener.
-	 * @param address address to listen at
+	 * @param address address to listen on
 	 * @param workers number of workers
-	 * @param services what the handlers use
-	 * @param members the VMs that callers may use
+	 * @param services services for the request handlers
+	 * @param members the VMs that callers can send requests to
 	 * @return the listener
 	 */
 	public static CallerServer start(InetSocketAddress address, int workers, RequestServices services,
@@ -111,7 +111,7 @@
 	}
 
 	/**
-	 * Refuses new requests from now on; running ones go on.
+	 * Refuses new requests from now on. Running requests continue.
 	 */
 	public void refuseNew() {
 		this.refusing = true;
@@ -121,8 +121,8 @@
 		if (exchange.getRequestPath().equals("/v1/vms") && exchange.getRequestMethod().equals(Methods.GET)) {
 			exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 			exchange.getResponseSender()
-				.send(ByteBuffer
-					.wrap(CallerJson.write(Map.of("vms", this.members.members(), "validForSeconds", VALID_SECONDS))));
+				.send(ByteBuffer.wrap(CallerJson
+					.write(Map.of("vms", this.members.members(), "validForSeconds", VM_LIST_VALIDITY_SECONDS))));
 			return;
 		}
 		this.running.incrementAndGet();
@@ -133,7 +133,7 @@
 		}
 		exchange.dispatch(() -> {
 			try {
-				work(exchange);
+				handleOnWorker(exchange);
 			}
 			finally {
 				this.running.decrementAndGet();
@@ -143,8 +143,9 @@
 	}
 
 	private void refuse(HttpServerExchange exchange) {
-		RequestException ex = this.refusing ? RequestException.notRun(ErrorType.NOT_SERVING, "this VM shuts down", 0)
-				: RequestException.notRun(ErrorType.OVERLOADED, "this VM has no free worker", RETRY_MILLIS);
+		RequestException ex = this.refusing
+				? RequestException.notRun(ErrorType.NOT_SERVING, "this VM is shutting down", 0)
+				: RequestException.notRun(ErrorType.OVERLOADED, "this VM has no free worker", RETRY_AFTER_MILLIS);
 		exchange.setStatusCode(ex.status());
 		exchange.setPersistent(false);
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -152,7 +153,7 @@
 		exchange.getResponseSender().send(ByteBuffer.wrap(CallerJson.write(CallerJson.error(ex))));
 	}
 
-	private void work(HttpServerExchange exchange) {
+	private void handleOnWorker(HttpServerExchange exchange) {
 		CallerConnection connection = new CallerConnection(exchange);
 		ResponseWriter writer = new ResponseWriter(exchange, connection);
 		try {
@@ -198,7 +199,7 @@
 	}
 
 	/**
-	 * Ends the listener and all its connections.
+	 * Stops the listener and closes all its connections.
 	 */
 	@Override
 	public void close() {
--- a/server/src/main/java/org/banyanstile/server/caller/ChatCall.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ChatCall.java
@@ -16,14 +16,15 @@
 final class ChatCall {
 
 	/**
-	 * Requests that cannot start within the target for the first token are refused before
-	 * any work; the rest of the target is for prefill and transfer.
+	 * A request that gets no slot within this time would miss the target for the first
+	 * token and is refused before any work. The rest of the target is for prefill and
+	 * transfer.
 	 */
 	private static final long SLOT_WAIT_MILLIS = 400;
 
 	private static final int MAX_ATTEMPTS = 3;
 
-	private static final long LOST_RETRY_MILLIS = 100;
+	private static final long RETRY_AFTER_MILLIS = 100;
 
 	private final RequestServices services;
 
@@ -65,31 +66,31 @@
 		String idempotencyKey = this.request.idempotencyKey();
 		if (idempotencyKey == null) {
 			requireNothingReceived();
-			answerNew(new ChatRelay(this.services, this.chat, this.output, this.control, this.labels, -1, null));
+			runNew(new ChatRelay(this.services, this.chat, this.output, this.control, this.labels, -1, null));
 			return;
 		}
 		StreamKey key = new StreamKey(this.caller.team(), Hashes.sha256(idempotencyKey));
-		RunningStream mine = new RunningStream(this.bodyHash, this.control);
-		RunningStream older = this.services.running().enter(key, mine);
+		RunningStream stream = new RunningStream(this.bodyHash, this.control);
+		RunningStream previous = this.services.running().register(key, stream);
 		ChatRelay relay = new ChatRelay(this.services, this.chat, this.output, this.control, this.labels,
 				this.request.lastEventId(), key);
 		try {
-			answerOnce(key, older, relay);
+			runIdempotent(key, previous, relay);
 		}
 		finally {
-			if (this.services.running().leave(key, mine)) {
+			if (this.services.running().unregister(key, stream)) {
 				this.services.directory().withdraw(key);
 			}
-			mine.leave(relay.handover());
+			stream.complete(relay.handover());
 		}
 	}
 
-	private void answerOnce(StreamKey key, @Nullable RunningStream older, ChatRelay relay)
+	private void runIdempotent(StreamKey key, @Nullable RunningStream previous, ChatRelay relay)
 			throws RequestException, IOException {
-		Handover handover = (older != null) ? older.supersede() : null;
-		RememberedAnswer answer = this.services.answers().find(key);
-		if (answer != null) {
-			replay(answer);
+		StreamHandle handover = (previous != null) ? previous.supersede() : null;
+		CachedResponse response = this.services.responses().find(key);
+		if (response != null) {
+			replay(response);
 			return;
 		}
 		if (handover == null) {
@@ -102,17 +103,17 @@
 				return;
 			}
 			catch (EndpointException ex) {
-				this.control.check();
+				this.control.throwIfAborted();
 			}
 		}
 		if (this.output.hasSentText()) {
 			throw RequestException.unknown(ErrorType.STREAM_LOST, "the engine lost the stream");
 		}
 		requireNothingReceived();
-		answerNew(relay);
+		runNew(relay);
 	}
 
-	private @Nullable Handover takeOver(StreamKey key) throws RequestException {
+	private @Nullable StreamHandle takeOver(StreamKey key) throws RequestException {
 		TakeoverResult result = this.services.directory().takeOver(key, this.bodyHash);
 		if (result instanceof TakeoverResult.OtherBody) {
 			throw RequestException.notRun(ErrorType.KEY_REUSED, "the idempotency key was used with another body");
@@ -126,61 +127,62 @@
 			.filter((target) -> target.id().equals(taken.location().endpoint())
 					&& target.pool().role() == PoolRole.DECODE)
 			.findFirst()
-			.map((target) -> new Handover(taken.location().requestId(),
+			.map((target) -> new StreamHandle(taken.location().requestId(),
 					new SlotDecision.Granted(target.pool(), taken.location().requestId(), target)))
 			.orElse(null);
 	}
 
-	private void replay(RememberedAnswer answer) throws RequestException, IOException {
-		if (!answer.bodyHash().equals(this.bodyHash)) {
+	private void replay(CachedResponse response) throws RequestException, IOException {
+		if (!response.bodyHash().equals(this.bodyHash)) {
 			throw RequestException.notRun(ErrorType.KEY_REUSED, "the idempotency key was used with another body");
 		}
-		for (long i = this.request.lastEventId() + 1; i < answer.tokens().size(); i++) {
-			this.output.token(i, answer.tokens().get((int) i));
+		for (long i = this.request.lastEventId() + 1; i < response.tokens().size(); i++) {
+			this.output.token(i, response.tokens().get((int) i));
 		}
-		this.output.finish(answer.finish(), answer.tokens().size());
+		this.output.finish(response.finish(), response.tokens().size());
 		this.services.metrics().replayed(this.labels);
 	}
 
 	private void requireNothingReceived() throws RequestException {
 		if (this.request.lastEventId() >= 0) {
-			throw RequestException.unknown(ErrorType.STREAM_LOST, "the stream that the caller had received is gone");
+			throw RequestException.unknown(ErrorType.STREAM_LOST, "the partly received stream cannot be continued");
 		}
 	}
 
-	private void answerNew(ChatRelay relay) throws RequestException, IOException {
+	private void runNew(ChatRelay relay) throws RequestException, IOException {
 		LimitDecision.Reserved reservation = reserve();
 		this.services.metrics().accepted(this.labels);
 		this.services.retries().requestStarted();
 		try {
-			attempts(relay);
+			runAttempts(relay);
 		}
 		finally {
-			this.services.limiter().settle(reservation, relay.handedOver() ? this.chat.cost() : relay.spentTokens());
+			this.services.limiter().settle(reservation, relay.handedOver() ? this.chat.cost() : relay.usedTokens());
 		}
 	}
 
 	private LimitDecision.Reserved reserve() throws RequestException {
 		LimitDecision decision = this.services.limiter().reserve(this.caller.team(), this.chat.cost());
 		if (decision instanceof LimitDecision.Limited limited) {
-			throw RequestException.notRun(ErrorType.RATE_LIMITED, "the team exceeds its rate",
+			throw RequestException.notRun(ErrorType.RATE_LIMITED, "the team exceeds its token rate",
 					limited.retryAfterMillis());
 		}
 		if (decision instanceof LimitDecision.Reserved reserved) {
 			return reserved;
 		}
-		throw RequestException.notRun(ErrorType.RATE_LIMITED, "the request is larger than the team's burst");
+		throw RequestException.notRun(ErrorType.RATE_LIMITED, "the request needs more tokens than the team's burst");
 	}
 
-	private void attempts(ChatRelay relay) throws RequestException, IOException {
-		long waitUntil = System.nanoTime() + Math.min(SLOT_WAIT_MILLIS, this.request.deadlineMillis()) * 1_000_000;
+	private void runAttempts(ChatRelay relay) throws RequestException, IOException {
+		long waitDeadlineNanos = System.nanoTime()
+				+ Math.min(SLOT_WAIT_MILLIS, this.request.deadlineMillis()) * 1_000_000;
 		SlotFinder finder = new SlotFinder(this.services, this.request.configuration(), demand());
 		boolean mayHaveRun = false;
 		for (int attempt = 1;; attempt++) {
 			String requestId = this.id + "." + attempt;
 			try {
 				EngineRun run = new EngineRun(this.services, this.chat, this.control, this.labels, finder, requestId,
-						waitUntil);
+						waitDeadlineNanos);
 				relay.run(run.prepare(), this.bodyHash);
 				return;
 			}
@@ -188,9 +190,9 @@
 				throw mayHaveRun ? ex.afterAttempt() : ex;
 			}
 			catch (EndpointException ex) {
-				this.control.check();
+				this.control.throwIfAborted();
 				mayHaveRun |= mayHaveRun(ex);
-				requireRetry(ex, attempt, mayHaveRun);
+				requireRetryAllowed(ex, attempt, mayHaveRun);
 			}
 		}
 	}
@@ -199,7 +201,7 @@
 		return !(ex instanceof EndpointUnreachableException) && !(ex instanceof EndpointRefusedException);
 	}
 
-	private void requireRetry(EndpointException ex, int attempt, boolean mayHaveRun) throws RequestException {
+	private void requireRetryAllowed(EndpointException ex, int attempt, boolean mayHaveRun) throws RequestException {
 		if (this.output.hasSentText()) {
 			throw RequestException.unknown(ErrorType.STREAM_LOST, "the engine lost the stream");
 		}
@@ -208,7 +210,7 @@
 		}
 		if (attempt == MAX_ATTEMPTS || !this.services.retries().tryRetry()) {
 			RequestException failure = RequestException.notRun(ErrorType.OVERLOADED, "no engine completed the request",
-					LOST_RETRY_MILLIS);
+					RETRY_AFTER_MILLIS);
 			throw mayHaveRun ? failure.afterAttempt() : failure;
 		}
 		this.services.metrics().retried(this.labels);
--- a/server/src/main/java/org/banyanstile/server/caller/ChatOutput.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ChatOutput.java
@@ -18,15 +18,15 @@
 	void token(long offset, String text) throws IOException;
 
 	/**
-	 * Tells the caller that the answer goes on although the engine is silent.
+	 * Keeps the connection alive while the engine sends nothing.
 	 * @throws IOException if the caller has disconnected
 	 */
-	void idle() throws IOException;
+	void keepAlive() throws IOException;
 
 	/**
-	 * Completes the answer.
+	 * Completes the response.
 	 * @param finish {@code stop} or {@code length}
-	 * @param tokens number of tokens of the whole answer
+	 * @param tokens number of tokens of the whole response
 	 * @throws IOException if the caller has disconnected
 	 */
 	void finish(String finish, long tokens) throws IOException;
@@ -39,7 +39,7 @@
 	void fail(RequestException ex) throws IOException;
 
 	/**
-	 * Returns whether the caller may have received text of the answer.
+	 * Returns whether the caller may have received generated text.
 	 * @return whether it may
 	 */
 	boolean hasSentText();
--- a/server/src/main/java/org/banyanstile/server/caller/ChatRelay.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ChatRelay.java
@@ -13,26 +13,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Relays the tokens of a stream to the caller, and ends the stream properly whatever
- * happens to the caller, the key, this VM or the engine. Used by one thread, except that
- * the handover is read after the request has ended.
+ * Relays the tokens of a stream to the caller. Ends the stream when the caller
+ * disconnects, the key is withdrawn, this VM stops serving or the engine fails. Used by
+ * one thread, except that the handover is read after the request has ended.
  *
  * @author banyanstile contributors
  */
 final class ChatRelay {
 
 	/**
-	 * Longest wait for a token before a sign of life is written; a disconnect must be
-	 * noticed within 1 s.
+	 * Maximum wait for a token before a keep-alive is written, because a disconnect must
+	 * be detected within 1 s.
 	 */
-	private static final Duration WAIT = Duration.ofMillis(500);
+	private static final Duration TOKEN_WAIT = Duration.ofMillis(500);
 
-	private static final long RENEW_NANOS = Duration.ofSeconds(3).toNanos();
+	private static final long RENEWAL_INTERVAL_NANOS = Duration.ofSeconds(3).toNanos();
 
 	/**
-	 * Time for another VM to take over a stream of a VM that stopped serving.
+	 * Time for another VM to take over a stream after this VM has stopped serving.
 	 */
-	private static final long TAKEOVER_MILLIS = 5000;
+	private static final long TAKEOVER_TIMEOUT_MILLIS = 5000;
 
 	private final RequestServices services;
 
@@ -60,7 +60,7 @@
 
 	private long renewedAt;
 
-	private volatile @Nullable Handover handover;
+	private volatile @Nullable StreamHandle handover;
 
 	ChatRelay(RequestServices services, ChatRequest chat, ChatOutput output, CallControl control, RequestLabels labels,
 			long lastEventId, @Nullable StreamKey key) {
@@ -75,25 +75,26 @@
 	}
 
 	/**
-	 * Relays a stream from its first token. Tokens that the caller has are skipped.
+	 * Relays a stream from its first token. Tokens that the caller already has are not
+	 * sent again.
 	 * @param stream the stream
 	 * @param bodyHash hash of the request body
-	 * @throws RequestException if the request must end
+	 * @throws RequestException if the request was aborted
 	 * @throws EndpointException if the engine lost the stream
 	 * @throws IOException if the caller has disconnected
 	 */
-	void run(Handover stream, String bodyHash) throws RequestException, EndpointException, IOException {
+	void run(StreamHandle stream, String bodyHash) throws RequestException, EndpointException, IOException {
 		SlotOutcome outcome = SlotOutcome.CANCELLED;
-		boolean released = true;
+		boolean release = true;
 		String address = stream.slot().endpoint().address();
 		this.tokens.clear();
 		this.renewedAt = System.nanoTime();
-		try (DecodeStream answer = this.services.engine()
+		try (DecodeStream decodeStream = this.services.engine()
 			.decode(address, stream.requestId(), this.chat.maxTokens(), 0)) {
 			announce(stream, bodyHash);
-			String finish = relay(answer, stream);
+			String finish = relay(decodeStream, stream);
 			outcome = SlotOutcome.COMPLETED;
-			complete(finish, bodyHash, answer);
+			complete(finish, bodyHash, decodeStream);
 		}
 		catch (EndpointException ex) {
 			outcome = EngineRun.outcome(ex);
@@ -101,15 +102,15 @@
 		}
 		finally {
 			if (outcome != SlotOutcome.COMPLETED) {
-				released = end(stream);
+				release = endIncomplete(stream);
 			}
-			if (released) {
+			if (release) {
 				this.services.slots().release(stream.slot(), outcome);
 			}
 		}
 	}
 
-	private void announce(Handover stream, String bodyHash) {
+	private void announce(StreamHandle stream, String bodyHash) {
 		StreamKey present = this.key;
 		if (present != null) {
 			this.services.directory()
@@ -117,25 +118,26 @@
 		}
 	}
 
-	private String relay(DecodeStream answer, Handover stream) throws RequestException, EndpointException, IOException {
+	private String relay(DecodeStream decodeStream, StreamHandle stream)
+			throws RequestException, EndpointException, IOException {
 		while (true) {
-			this.control.check();
+			this.control.throwIfAborted();
 			renew(stream);
-			DecodeEvent event = answer.next(WAIT);
+			DecodeEvent event = decodeStream.next(TOKEN_WAIT);
 			if (event instanceof DecodeEvent.Finished finished) {
-				this.control.check();
+				this.control.throwIfAborted();
 				return finished.reason();
 			}
 			if (event instanceof DecodeEvent.Chunk chunk) {
-				accept(chunk);
+				forward(chunk);
 			}
 			else {
-				this.output.idle();
+				this.output.keepAlive();
 			}
 		}
 	}
 
-	private void accept(DecodeEvent.Chunk chunk) throws IOException {
+	private void forward(DecodeEvent.Chunk chunk) throws IOException {
 		this.tokens.add(chunk.text());
 		if (chunk.offset() <= this.lastEventId) {
 			return;
@@ -152,34 +154,35 @@
 		this.output.token(chunk.offset(), chunk.text());
 	}
 
-	private void renew(Handover stream) {
+	private void renew(StreamHandle stream) {
 		long now = System.nanoTime();
-		if (now - this.renewedAt >= RENEW_NANOS) {
+		if (now - this.renewedAt >= RENEWAL_INTERVAL_NANOS) {
 			this.renewedAt = now;
 			this.services.slots().renew(stream.slot());
 		}
 	}
 
-	private void complete(String finish, String bodyHash, DecodeStream answer) throws IOException {
+	private void complete(String finish, String bodyHash, DecodeStream decodeStream) throws IOException {
 		StreamKey present = this.key;
 		if (present != null) {
-			this.services.answers().remember(present, new RememberedAnswer(bodyHash, List.copyOf(this.tokens), finish));
+			this.services.responses().put(present, new CachedResponse(bodyHash, List.copyOf(this.tokens), finish));
 		}
-		this.services.metrics().resumed(this.labels, answer.resumeCount());
+		this.services.metrics().resumed(this.labels, decodeStream.resumeCount());
 		this.output.finish(finish, this.tokens.size());
 		this.services.metrics().answered(this.labels);
 		long gaps = Math.max(1, this.tokens.size() - 1);
 		this.services.metrics()
-			.answeredInTime(this.labels, this.firstTokenAt - this.startedAt,
+			.recordLatency(this.labels, this.firstTokenAt - this.startedAt,
 					(this.lastTokenAt - this.firstTokenAt) / gaps);
 	}
 
 	/**
-	 * Ends a stream that is not complete.
+	 * Cancels a stream that is not complete, or leaves it to a newer request or another
+	 * VM.
 	 * @param stream the stream
-	 * @return whether its slot is free now
+	 * @return whether its slot must be released
 	 */
-	private boolean end(Handover stream) {
+	private boolean endIncomplete(StreamHandle stream) {
 		String address = stream.slot().endpoint().address();
 		AbortReason reason = this.control.reason();
 		if (this.key != null && reason == AbortReason.SUPERSEDED) {
@@ -188,7 +191,8 @@
 		}
 		if (this.key != null && reason == AbortReason.NOT_SERVING) {
 			this.services.canceller()
-				.cancelUnlessTaken(address, stream.requestId(), this.services.engine().holder(), TAKEOVER_MILLIS);
+				.cancelUnlessTakenOver(address, stream.requestId(), this.services.engine().holder(),
+						TAKEOVER_TIMEOUT_MILLIS);
 			return false;
 		}
 		this.services.canceller().cancel(address, stream.requestId());
@@ -197,11 +201,11 @@
 	}
 
 	/**
-	 * Returns the stream that goes on at the engine for a repeat.
+	 * Returns the stream that continues at the engine for a repeated request.
 	 * @return the stream, or {@code null}
 	 */
 	@Nullable
-	Handover handover() {
+	StreamHandle handover() {
 		return this.handover;
 	}
 
@@ -210,10 +214,10 @@
 	}
 
 	/**
-	 * Returns the tokens that the request has spent.
+	 * Returns the number of tokens that the request has used.
 	 * @return the number
 	 */
-	long spentTokens() {
+	long usedTokens() {
 		return this.tokens.isEmpty() ? 0 : (long) this.chat.promptTokens() + this.tokens.size();
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/ChatRequest.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ChatRequest.java
@@ -9,10 +9,10 @@
  * Body of a request for generated text.
  *
  * @param model name of the model
- * @param prompt contents of all messages, one after another on lines of their own
+ * @param prompt contents of all messages, separated by line feeds
  * @param promptTokens number of prompt tokens
- * @param maxTokens longest answer in tokens
- * @param stream whether the answer is sent as events
+ * @param maxTokens maximum number of generated tokens
+ * @param stream whether the response is sent as events
  * @author banyanstile contributors
  */
 record ChatRequest(String model, String prompt, int promptTokens, int maxTokens, boolean stream) {
@@ -25,7 +25,8 @@
 		String prompt = prompt(node.path("messages"));
 		int promptTokens = new StringTokenizer(prompt).countTokens();
 		if (promptTokens == 0 || promptTokens > limits.maxPromptTokens()) {
-			throw invalid("the prompt has " + promptTokens + " tokens, allowed are 1 to " + limits.maxPromptTokens());
+			throw invalid(
+					"the prompt has " + promptTokens + " tokens; 1 to " + limits.maxPromptTokens() + " are allowed");
 		}
 		return new ChatRequest(node.path("model").asText(), prompt, promptTokens,
 				maxTokens(node.path("max_tokens"), limits), node.path("stream").asBoolean(false));
@@ -60,7 +61,7 @@
 	}
 
 	/**
-	 * Returns the most tokens that the request can cost.
+	 * Returns the maximum number of tokens that the request can use.
 	 * @return the number
 	 */
 	long cost() {
--- a/server/src/main/java/org/banyanstile/server/caller/ClaimDecision.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ClaimDecision.java
@@ -1,17 +1,18 @@
 package org.banyanstile.server.caller;
 
 /**
- * Decision on a once-only call.
+ * Decision on a call that must run at most once.
  *
  * @author banyanstile contributors
  */
 public sealed interface ClaimDecision {
 
 	/**
-	 * This VM holds the claim and must dispatch the call at most once, then complete it.
+	 * This VM holds the claim. It must dispatch the call at most once, and then complete
+	 * the claim.
 	 *
 	 * @param key identity of the call
-	 * @param handle value that the service needs to complete the claim
+	 * @param handle value that the claim service needs to complete the claim
 	 * @author banyanstile contributors
 	 */
 	record Run(ClaimKey key, Object handle) implements ClaimDecision {
@@ -19,10 +20,10 @@
 	}
 
 	/**
-	 * The call cannot be claimed now. This attempt has not run; nothing is known of
-	 * earlier ones.
+	 * The call cannot be claimed now. This attempt has not run; nothing is known about
+	 * earlier attempts.
 	 *
-	 * @param retryAfterMillis time after which to try again
+	 * @param retryAfterMillis time after which to retry
 	 * @author banyanstile contributors
 	 */
 	record Unavailable(long retryAfterMillis) implements ClaimDecision {
@@ -30,7 +31,7 @@
 	}
 
 	/**
-	 * The call is decided already.
+	 * The outcome of the call is already known.
 	 *
 	 * @param outcome the outcome
 	 * @author banyanstile contributors
@@ -40,9 +41,9 @@
 	}
 
 	/**
-	 * Another VM or worker runs the call now and no outcome came in time.
+	 * Another VM or worker runs the call now, and its outcome was not received in time.
 	 *
-	 * @param retryAfterMillis time after which to ask again
+	 * @param retryAfterMillis time after which to retry
 	 * @author banyanstile contributors
 	 */
 	record InProgress(long retryAfterMillis) implements ClaimDecision {
--- a/server/src/main/java/org/banyanstile/server/caller/ClaimKey.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ClaimKey.java
@@ -3,7 +3,7 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Identity of a once-only call.
+ * Identity of a call that must run at most once.
  *
  * @param team the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/caller/ClaimService.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ClaimService.java
@@ -1,21 +1,22 @@
 package org.banyanstile.server.caller;
 
 /**
- * Claims for calls that must not be repeated.
+ * Claims for calls that must run at most once.
  *
  * @author banyanstile contributors
  */
 public interface ClaimService {
 
 	/**
-	 * Claims a call. The claim may need the store.
+	 * Claims a call. May access the store.
 	 * @param key identity of the call
 	 * @return the decision
 	 */
 	ClaimDecision claim(ClaimKey key);
 
 	/**
-	 * Returns whether an earlier attempt may have run, for a refusal without a claim.
+	 * Returns whether an earlier attempt may have run. Used for a request that is refused
+	 * before a claim is made.
 	 * @param key identity of the call
 	 * @return {@code false} only if it is certain that none has run or is running
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/CompleteOutput.java
+++ b/server/src/main/java/org/banyanstile/server/caller/CompleteOutput.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Writes generated text as one JSON object at its end.
+ * Collects generated text and writes it as one JSON object when it is complete.
  *
  * @author banyanstile contributors
  */
@@ -35,8 +35,8 @@
 	}
 
 	@Override
-	public void idle() {
-		// Nothing can be sent before the answer; the watch notices a disconnect.
+	public void keepAlive() {
+		// Nothing can be sent before the response; CallWatch detects a disconnect.
 	}
 
 	@Override
@@ -45,13 +45,13 @@
 		choice.put("index", 0);
 		choice.put("message", Map.of("role", "assistant", "content", this.text.toString()));
 		choice.put("finish_reason", finish);
-		Map<String, Object> answer = new LinkedHashMap<>();
-		answer.put("id", this.id);
-		answer.put("object", "chat.completion");
-		answer.put("model", this.chat.model());
-		answer.put("choices", List.of(choice));
-		answer.put("usage", Map.of("prompt_tokens", this.chat.promptTokens(), "completion_tokens", tokens));
-		this.writer.send(200, "application/json", CallerJson.write(answer));
+		Map<String, Object> response = new LinkedHashMap<>();
+		response.put("id", this.id);
+		response.put("object", "chat.completion");
+		response.put("model", this.chat.model());
+		response.put("choices", List.of(choice));
+		response.put("usage", Map.of("prompt_tokens", this.chat.promptTokens(), "completion_tokens", tokens));
+		this.writer.send(200, "application/json", CallerJson.write(response));
 	}
 
 	@Override
--- a/server/src/main/java/org/banyanstile/server/caller/ConfigurationView.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ConfigurationView.java
@@ -16,7 +16,7 @@
 	ServingConfiguration current();
 
 	/**
-	 * Calls a listener after each change of version.
+	 * Adds a listener that is called after each change of version.
 	 * @param listener the listener, called without locks held
 	 */
 	void onChange(Consumer<ServingConfiguration> listener);
--- a/server/src/main/java/org/banyanstile/server/caller/EndpointTarget.java
+++ b/server/src/main/java/org/banyanstile/server/caller/EndpointTarget.java
@@ -8,9 +8,11 @@
  * @param id the name
  * @param address address as {@code ip:port}
  * @param pool the pool
- * @param slots number of requests that it runs at once
- * @param checksFencing whether it rejects orders that carry a stale fencing token
- * @param active whether it gets new work: neither leaving nor in a drained data centre
+ * @param slots number of requests that the endpoint runs at once
+ * @param checksFencing whether the endpoint rejects control orders with a stale fencing
+ * token
+ * @param active whether the endpoint gets new requests: it is neither leaving nor in a
+ * drained data centre
  * @author banyanstile contributors
  */
 public record EndpointTarget(EndpointId id, String address, Pool pool, int slots, boolean checksFencing,
--- a/server/src/main/java/org/banyanstile/server/caller/EngineCanceller.java
+++ b/server/src/main/java/org/banyanstile/server/caller/EngineCanceller.java
@@ -9,15 +9,15 @@
 import org.banyanstile.server.endpoint.EngineClient;
 
 /**
- * Cancels requests at engines until the engine confirms, without blocking the caller.
+ * Cancels requests at engines asynchronously, with retries until the engine confirms.
  *
  * @author banyanstile contributors
  */
 public final class EngineCanceller implements AutoCloseable {
 
-	private static final int ATTEMPTS = 8;
+	private static final int MAX_ATTEMPTS = 8;
 
-	private static final long RETRY_MILLIS = 250;
+	private static final long RETRY_DELAY_MILLIS = 250;
 
 	private final EngineClient engine;
 
@@ -48,20 +48,20 @@
 	 * @param requestId identifier of the request
 	 */
 	public void cancel(String address, String requestId) {
-		schedule(() -> attempt(address, requestId, ATTEMPTS), 0);
+		schedule(() -> attempt(address, requestId, MAX_ATTEMPTS), 0);
 	}
 
 	/**
-	 * Cancels a request after a time unless another VM has taken it over.
+	 * Cancels a request after a delay unless another VM has taken it over.
 	 * @param address address of the engine
 	 * @param requestId identifier of the request
-	 * @param holder holder in whose name the request runs now
-	 * @param delayMillis the time
+	 * @param holder the VM and epoch on whose behalf the request runs now
+	 * @param delayMillis the delay
 	 */
-	public void cancelUnlessTaken(String address, String requestId, String holder, long delayMillis) {
+	public void cancelUnlessTakenOver(String address, String requestId, String holder, long delayMillis) {
 		schedule(() -> {
 			if (isHeldBy(address, requestId, holder)) {
-				attempt(address, requestId, ATTEMPTS);
+				attempt(address, requestId, MAX_ATTEMPTS);
 			}
 		}, delayMillis);
 	}
@@ -77,9 +77,9 @@
 		}
 	}
 
-	private void attempt(String address, String requestId, int left) {
-		if (!this.engine.cancel(address, requestId) && left > 1) {
-			schedule(() -> attempt(address, requestId, left - 1), RETRY_MILLIS);
+	private void attempt(String address, String requestId, int attemptsLeft) {
+		if (!this.engine.cancel(address, requestId) && attemptsLeft > 1) {
+			schedule(() -> attempt(address, requestId, attemptsLeft - 1), RETRY_DELAY_MILLIS);
 		}
 	}
 
@@ -88,7 +88,8 @@
 			this.executor.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
 		}
 		catch (RejectedExecutionException ex) {
-			// The VM is shutting down; the owner of the pool cancels what is left.
+			// The VM is shutting down; the owner of the pool cancels the remaining
+			// requests.
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/EngineRun.java
+++ b/server/src/main/java/org/banyanstile/server/caller/EngineRun.java
@@ -9,16 +9,17 @@
 import org.banyanstile.server.endpoint.StreamLostException;
 
 /**
- * One attempt to run a request on engines: a decode slot first, then prefill, then the
- * transfer, so that no prefill is computed for which no decode slot is free.
+ * One attempt to run a request on engines. Acquires the decode slot before the prefill,
+ * so that no prefill is computed for which no decode slot is free, and then transfers the
+ * result.
  *
  * @author banyanstile contributors
  */
 final class EngineRun {
 
 	/**
-	 * Decode endpoints that are tried for one prefill result. It is retained for under a
-	 * second and a stall is noticed after 200 ms.
+	 * Decode endpoints that are tried for one prefill result. The result is retained for
+	 * less than one second, and a stalled transfer is detected after 200 ms.
 	 */
 	private static final int MAX_TRANSFERS = 3;
 
@@ -34,26 +35,26 @@
 
 	private final String requestId;
 
-	private final long waitUntil;
+	private final long waitDeadlineNanos;
 
 	EngineRun(RequestServices services, ChatRequest chat, CallControl control, RequestLabels labels, SlotFinder finder,
-			String requestId, long waitUntil) {
+			String requestId, long waitDeadlineNanos) {
 		this.services = services;
 		this.chat = chat;
 		this.control = control;
 		this.labels = labels;
 		this.finder = finder;
 		this.requestId = requestId;
-		this.waitUntil = waitUntil;
+		this.waitDeadlineNanos = waitDeadlineNanos;
 	}
 
 	/**
 	 * Prepares the stream at a decode engine.
 	 * @return the stream
-	 * @throws RequestException if the request is refused or must end
+	 * @throws RequestException if the request was refused or aborted
 	 * @throws EndpointException if an engine failed; all slots are released
 	 */
-	Handover prepare() throws RequestException, EndpointException {
+	StreamHandle prepare() throws RequestException, EndpointException {
 		SlotDecision.Granted slot = decodeSlot(this.services.dataCentre());
 		Prefill prefill;
 		try {
@@ -66,14 +67,15 @@
 		return transfer(slot, prefill);
 	}
 
-	private SlotDecision.Granted decodeSlot(DataCentreId near) throws RequestException {
-		this.control.check();
-		return this.finder.find(PoolRole.DECODE, near, this.requestId, waitMillis());
+	private SlotDecision.Granted decodeSlot(DataCentreId preferred) throws RequestException {
+		this.control.throwIfAborted();
+		return this.finder.find(PoolRole.DECODE, preferred, this.requestId, remainingWaitMillis());
 	}
 
-	private Prefill prefill(DataCentreId near) throws RequestException, EndpointException {
-		this.control.check();
-		SlotDecision.Granted slot = this.finder.find(PoolRole.PREFILL, near, this.requestId, waitMillis());
+	private Prefill prefill(DataCentreId preferred) throws RequestException, EndpointException {
+		this.control.throwIfAborted();
+		SlotDecision.Granted slot = this.finder.find(PoolRole.PREFILL, preferred, this.requestId,
+				remainingWaitMillis());
 		SlotOutcome outcome = SlotOutcome.CANCELLED;
 		String address = slot.endpoint().address();
 		try {
@@ -86,29 +88,30 @@
 			return prefill;
 		}
 		catch (EndpointException ex) {
-			this.control.check();
+			this.control.throwIfAborted();
 			outcome = outcome(ex);
 			this.finder.exclude(slot.endpoint().id());
 			throw ex;
 		}
 		finally {
-			this.control.clear();
+			this.control.clearAbortAction();
 			this.services.slots().release(slot, outcome);
 		}
 	}
 
-	private Handover transfer(SlotDecision.Granted first, Prefill prefill) throws RequestException, EndpointException {
+	private StreamHandle transfer(SlotDecision.Granted first, Prefill prefill)
+			throws RequestException, EndpointException {
 		SlotDecision.Granted slot = first;
-		boolean done = false;
+		boolean transferred = false;
 		try {
 			for (int attempt = 1;; attempt++) {
 				try {
 					importTo(slot, prefill);
-					done = true;
-					return new Handover(this.requestId, slot);
+					transferred = true;
+					return new StreamHandle(this.requestId, slot);
 				}
 				catch (EndpointException ex) {
-					if (attempt == MAX_TRANSFERS || isExpired(ex)) {
+					if (attempt == MAX_TRANSFERS || isPrefillExpired(ex)) {
 						throw ex;
 					}
 				}
@@ -117,7 +120,7 @@
 			}
 		}
 		finally {
-			if (!done) {
+			if (!transferred) {
 				this.services.metrics().prefillWasted(this.labels, prefill.promptTokens());
 				this.services.canceller().cancel(prefill.source(), this.requestId);
 			}
@@ -127,23 +130,23 @@
 	private void importTo(SlotDecision.Granted slot, Prefill prefill) throws RequestException, EndpointException {
 		String address = slot.endpoint().address();
 		SlotOutcome outcome = SlotOutcome.CANCELLED;
-		boolean done = false;
+		boolean transferred = false;
 		try {
 			this.control.onAbort(() -> this.services.canceller().cancel(address, this.requestId));
 			requireServing();
 			this.services.engine().importKv(address, this.requestId, prefill);
-			this.control.check();
-			done = true;
+			this.control.throwIfAborted();
+			transferred = true;
 		}
 		catch (EndpointException ex) {
-			this.control.check();
+			this.control.throwIfAborted();
 			outcome = outcome(ex);
 			this.finder.exclude(slot.endpoint().id());
 			throw ex;
 		}
 		finally {
-			this.control.clear();
-			if (!done) {
+			this.control.clearAbortAction();
+			if (!transferred) {
 				this.services.canceller().cancel(address, this.requestId);
 				this.services.slots().release(slot, outcome);
 			}
@@ -152,28 +155,28 @@
 
 	private void requireServing() throws RequestException {
 		if (!this.services.serving().mayServe()) {
-			throw RequestException.notRun(ErrorType.NOT_SERVING, "this VM may not serve now", 0);
+			throw RequestException.notRun(ErrorType.NOT_SERVING, "this VM is not allowed to serve now", 0);
 		}
 	}
 
-	private long waitMillis() {
-		return Math.max(0, (this.waitUntil - System.nanoTime()) / 1_000_000);
+	private long remainingWaitMillis() {
+		return Math.max(0, (this.waitDeadlineNanos - System.nanoTime()) / 1_000_000);
 	}
 
-	private static boolean isExpired(EndpointException ex) {
+	private static boolean isPrefillExpired(EndpointException ex) {
 		return ex instanceof EndpointRefusedException refused && refused.status() == 410;
 	}
 
 	/**
-	 * Returns what a failure says about the endpoint.
+	 * Returns the slot outcome for a failure at an endpoint.
 	 * @param ex the failure
-	 * @return the outcome for its slot
+	 * @return the outcome
 	 */
 	static SlotOutcome outcome(EndpointException ex) {
 		if (ex instanceof EndpointBrokenException || ex instanceof StreamLostException) {
 			return SlotOutcome.BROKEN;
 		}
-		// A refused connection shows that the request did not run, so it caused no crash.
+		// After a refused connection the request did not run, so it caused no crash.
 		return SlotOutcome.FAILED;
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/ErrorType.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ErrorType.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /**
- * Documented types of errors.
+ * Error types that are reported to callers.
  *
  * @author banyanstile contributors
  */
 public enum ErrorType {
 
 	/**
-	 * No active key was presented.
+	 * No active API key was presented, or the key was withdrawn.
 	 */
 	UNAUTHORIZED(401),
 
@@ -40,27 +40,29 @@
 	CRASHES_ENDPOINTS(422),
 
 	/**
-	 * The team exceeds its rate or burst.
+	 * The team exceeds its token rate or burst.
 	 */
 	RATE_LIMITED(429),
 
 	/**
-	 * No endpoint has capacity in time.
+	 * No endpoint had capacity in time.
 	 */
 	OVERLOADED(503),
 
 	/**
-	 * This VM may not serve now.
+	 * This VM is not allowed to serve now.
 	 */
 	NOT_SERVING(503),
 
 	/**
-	 * A once-only call cannot be claimed because the store is not available.
+	 * A call that must run at most once cannot be claimed because the store is not
+	 * available.
 	 */
 	STORE_UNAVAILABLE(503),
 
 	/**
-	 * The endpoint refused the call; the status is the endpoint's.
+	 * The endpoint refused the call. The response to the caller has the status of the
+	 * endpoint.
 	 */
 	ENDPOINT_REFUSED(502),
 
@@ -70,12 +72,12 @@
 	OUTCOME_UNKNOWN(504),
 
 	/**
-	 * A repeat with the same idempotency key took the answer over.
+	 * A newer request with the same idempotency key took over.
 	 */
 	SUPERSEDED(409),
 
 	/**
-	 * The caller had received part of an answer that cannot be continued.
+	 * The caller has received part of a response that cannot be continued.
 	 */
 	STREAM_LOST(409);
 
--- a/server/src/main/java/org/banyanstile/server/caller/EventStreamOutput.java
+++ b/server/src/main/java/org/banyanstile/server/caller/EventStreamOutput.java
@@ -35,7 +35,7 @@
 	}
 
 	@Override
-	public void idle() throws IOException {
+	public void keepAlive() throws IOException {
 		start();
 		this.writer.write(KEEP_ALIVE);
 	}
--- a/server/src/main/java/org/banyanstile/server/caller/FleetServingConfiguration.java
+++ b/server/src/main/java/org/banyanstile/server/caller/FleetServingConfiguration.java
@@ -15,7 +15,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Lookups over a version of the fleet's configuration.
+ * Lookups in one version of the fleet configuration.
  *
  * @author banyanstile contributors
  */
@@ -48,7 +48,7 @@
 	/**
 	 * Creates the lookups.
 	 * @param version the version
-	 * @param configuration its content
+	 * @param configuration the configuration
 	 * @return the lookups
 	 */
 	public static FleetServingConfiguration of(long version, FleetConfiguration configuration) {
--- a/server/src/main/java/org/banyanstile/server/caller/Hashes.java
+++ b/server/src/main/java/org/banyanstile/server/caller/Hashes.java
@@ -17,8 +17,8 @@
 	}
 
 	/**
-	 * Returns the SHA-256 hash of the parts, each preceded by its length so that parts
-	 * cannot be shifted into each other.
+	 * Returns the SHA-256 hash of the parts, each preceded by its length, so that
+	 * different boundaries between parts give different hashes.
 	 * @param parts the parts
 	 * @return the hash in hexadecimal
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/KeyScrubber.java
+++ b/server/src/main/java/org/banyanstile/server/caller/KeyScrubber.java
@@ -15,16 +15,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the caller's key out of what an endpoint receives.
+ * Removes the caller's API key from what is sent to an endpoint.
  *
  * @author banyanstile contributors
  */
 final class KeyScrubber {
 
 	/**
-	 * Only these fields are forwarded; everything else, trailers included, is dropped.
+	 * The only header fields that are forwarded. All others, and trailers, are dropped.
 	 */
-	private static final List<HttpString> FORWARDED = List.of(Headers.CONTENT_TYPE, Headers.ACCEPT,
+	private static final List<HttpString> FORWARDED_HEADERS = List.of(Headers.CONTENT_TYPE, Headers.ACCEPT,
 			Headers.ACCEPT_LANGUAGE);
 
 	private KeyScrubber() {
@@ -32,7 +32,7 @@
 
 	static Map<String, String> headers(HttpServerExchange exchange, @Nullable String key) {
 		Map<String, String> headers = new LinkedHashMap<>();
-		for (HttpString name : FORWARDED) {
+		for (HttpString name : FORWARDED_HEADERS) {
 			String value = exchange.getRequestHeaders().getFirst(name);
 			if (value != null && !contains(value, key)) {
 				headers.put(name.toString(), value);
@@ -49,7 +49,7 @@
 
 	static void requireAbsent(byte[] body, @Nullable String key) throws RequestException {
 		if (contains(new String(body, StandardCharsets.UTF_8), key)) {
-			throw RequestException.notRun(ErrorType.INVALID_REQUEST, "the body contains the caller's key");
+			throw RequestException.notRun(ErrorType.INVALID_REQUEST, "the body contains the caller's API key");
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/LimitDecision.java
+++ b/server/src/main/java/org/banyanstile/server/caller/LimitDecision.java
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * The team has not enough tokens now.
+	 * The team does not have enough tokens now.
 	 *
 	 * @param retryAfterMillis time after which the same request can succeed
 	 * @author banyanstile contributors
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * The request is larger than the burst, so it can never succeed.
+	 * The request needs more tokens than the burst, so it can never succeed.
 	 *
 	 * @param burstTokens the burst
 	 * @author banyanstile contributors
--- a/server/src/main/java/org/banyanstile/server/caller/MemberDirectory.java
+++ b/server/src/main/java/org/banyanstile/server/caller/MemberDirectory.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * VMs that callers may use.
+ * Directory of the VMs that callers can send requests to.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/caller/NotRunReason.java
+++ b/server/src/main/java/org/banyanstile/server/caller/NotRunReason.java
@@ -1,14 +1,14 @@
 package org.banyanstile.server.caller;
 
 /**
- * Why a once-only call did not run.
+ * Why a call that must run at most once did not run.
  *
  * @author banyanstile contributors
  */
 public enum NotRunReason {
 
 	/**
-	 * This VM may not serve.
+	 * This VM is not allowed to serve.
 	 */
 	NOT_SERVING,
 
--- a/server/src/main/java/org/banyanstile/server/caller/OnceOutcomes.java
+++ b/server/src/main/java/org/banyanstile/server/caller/OnceOnlyOutcomes.java
@@ -1,17 +1,17 @@
 package org.banyanstile.server.caller;
 
 /**
- * Maps the outcomes of once-only calls to answers and errors.
+ * Maps the outcomes of calls that must run at most once to responses and errors.
  *
  * @author banyanstile contributors
  */
-final class OnceOutcomes {
+final class OnceOnlyOutcomes {
 
-	private static final long RETRY_MILLIS = 250;
+	private static final long RETRY_AFTER_MILLIS = 250;
 
-	private static final int MAX_MESSAGE = 1000;
+	private static final int MAX_MESSAGE_LENGTH = 1000;
 
-	private OnceOutcomes() {
+	private OnceOnlyOutcomes() {
 	}
 
 	static StoredAnswer answer(CallOutcome outcome) throws RequestException {
@@ -30,15 +30,17 @@
 	static RequestException refused(StoredAnswer answer) {
 		String body = answer.body();
 		return RequestException.refusedByEndpoint(answer.status(),
-				"the endpoint refused: " + body.substring(0, Math.min(MAX_MESSAGE, body.length())));
+				"the endpoint refused the call: " + body.substring(0, Math.min(MAX_MESSAGE_LENGTH, body.length())));
 	}
 
 	private static RequestException notRun(NotRunReason reason) {
 		return switch (reason) {
-			case NOT_SERVING -> RequestException.notRun(ErrorType.NOT_SERVING, "this VM may not serve now", 0);
+			case NOT_SERVING ->
+				RequestException.notRun(ErrorType.NOT_SERVING, "this VM is not allowed to serve now", 0);
 			case NO_ENDPOINT ->
-				RequestException.notRun(ErrorType.OVERLOADED, "no endpoint accepted a connection", RETRY_MILLIS);
-			case OVERLOADED -> RequestException.notRun(ErrorType.OVERLOADED, "no endpoint is free", RETRY_MILLIS);
+				RequestException.notRun(ErrorType.OVERLOADED, "no endpoint accepted a connection", RETRY_AFTER_MILLIS);
+			case OVERLOADED -> RequestException.notRun(ErrorType.OVERLOADED, "no endpoint slot became free in time",
+					RETRY_AFTER_MILLIS);
 		};
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/Pool.java
+++ b/server/src/main/java/org/banyanstile/server/caller/Pool.java
@@ -39,7 +39,7 @@
 	public static Pool parse(String name) {
 		String[] parts = name.split("/", 3);
 		if (parts.length != 3) {
-			throw new IllegalArgumentException("'" + name + "' is no name of a pool");
+			throw new IllegalArgumentException("'" + name + "' is not a pool name");
 		}
 		return new Pool(DataCentreId.of(parts[0]), parts[1], PoolRole.valueOf(parts[2].toUpperCase(Locale.ROOT)));
 	}
--- a/server/src/main/java/org/banyanstile/server/caller/RequestBody.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestBody.java
@@ -10,13 +10,13 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Reads a request body with a bound on its size and on the time it takes.
+ * Reads a request body, with limits on its size and on the time for reading it.
  *
  * @author banyanstile contributors
  */
 final class RequestBody {
 
-	private static final long READ_NANOS = Duration.ofSeconds(10).toNanos();
+	private static final long READ_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
 
 	private static final int BUFFER_BYTES = 8192;
 
@@ -33,22 +33,22 @@
 		}
 		ByteArrayOutputStream body = new ByteArrayOutputStream();
 		ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
-		long deadline = System.nanoTime() + READ_NANOS;
-		int n = channel.read(buffer);
-		while (n >= 0) {
+		long deadline = System.nanoTime() + READ_TIMEOUT_NANOS;
+		int bytesRead = channel.read(buffer);
+		while (bytesRead >= 0) {
 			body.write(buffer.array(), 0, buffer.position());
 			buffer.clear();
 			if (body.size() > maxBytes) {
 				throw tooLarge(maxBytes);
 			}
-			long left = deadline - System.nanoTime();
-			if (left <= 0) {
-				throw new IOException("request body did not arrive in time");
+			long remainingNanos = deadline - System.nanoTime();
+			if (remainingNanos <= 0) {
+				throw new IOException("request body was not received within 10 s");
 			}
-			if (n == 0) {
-				channel.awaitReadable(left, TimeUnit.NANOSECONDS);
+			if (bytesRead == 0) {
+				channel.awaitReadable(remainingNanos, TimeUnit.NANOSECONDS);
 			}
-			n = channel.read(buffer);
+			bytesRead = channel.read(buffer);
 		}
 		return body.toByteArray();
 	}
--- a/server/src/main/java/org/banyanstile/server/caller/RequestException.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestException.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.caller;
 
 /**
- * A request ends with an error that the caller is told.
+ * Error that ends a request and is reported to the caller.
  *
  * @author banyanstile contributors
  */
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * Returns an error for a request that did not run and that a retry cannot help.
+	 * Returns an error for a request that did not run and for which a retry is useless.
 	 * @param type type of the error
 	 * @param message message for the caller
 	 * @return the error
@@ -60,7 +60,7 @@
 	 * Returns an error for a request that may have run and may be repeated.
 	 * @param type type of the error
 	 * @param message message for the caller
-	 * @param retryAfterMillis time after which a repeat can succeed
+	 * @param retryAfterMillis time after which a repeated request can succeed
 	 * @return the error
 	 */
 	public static RequestException unknown(ErrorType type, String message, long retryAfterMillis) {
@@ -78,8 +78,9 @@
 	}
 
 	/**
-	 * Returns this error for a request of which an earlier attempt may have run.
-	 * @return the error, which does not state that nothing ran
+	 * Returns this error without the statement that the request did not run, because an
+	 * earlier attempt may have run.
+	 * @return the error
 	 */
 	RequestException afterAttempt() {
 		return (this.run != RunState.NOT_RUN) ? this : new RequestException(this.type, RunState.UNKNOWN, this.status,
@@ -95,7 +96,7 @@
 	}
 
 	/**
-	 * Returns what is known about the call at the endpoint.
+	 * Returns whether the call ran at the endpoint.
 	 * @return the state
 	 */
 	public RunState run() {
@@ -112,7 +113,7 @@
 
 	/**
 	 * Returns the time after which a retry can succeed.
-	 * @return the time in milliseconds, negative if a retry cannot help
+	 * @return the time in milliseconds, negative if a retry is useless
 	 */
 	public long retryAfterMillis() {
 		return this.retryAfterMillis;
--- a/server/src/main/java/org/banyanstile/server/caller/RequestLabels.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestLabels.java
@@ -7,7 +7,7 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Labels of the counters of a request.
+ * Labels of the metrics of a request.
  *
  * @param team name of the team, or {@code -}
  * @param route name of the route
@@ -22,8 +22,8 @@
 	static final String NO_TEAM = "-";
 
 	/**
-	 * Returns the series of the error budget.
-	 * @return the series, the common one for requests without a team
+	 * Returns the error-budget series that the request counts in.
+	 * @return the series; requests without a team share one
 	 */
 	BurnKey burnKey() {
 		return this.team.equals(NO_TEAM) ? BurnCounters.OTHER
--- a/server/src/main/java/org/banyanstile/server/caller/RequestLimits.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestLimits.java
@@ -1,11 +1,11 @@
 package org.banyanstile.server.caller;
 
 /**
- * Bounds on a request.
+ * Size limits of a request.
  *
- * @param maxPromptTokens largest prompt in tokens
- * @param maxOutputTokens largest answer in tokens
- * @param maxBodyBytes largest request body in bytes
+ * @param maxPromptTokens maximum prompt size in tokens
+ * @param maxOutputTokens maximum number of generated tokens
+ * @param maxBodyBytes maximum size of the request body in bytes
  * @author banyanstile contributors
  */
 public record RequestLimits(int maxPromptTokens, int maxOutputTokens, int maxBodyBytes) {
--- a/server/src/main/java/org/banyanstile/server/caller/RequestMetrics.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestMetrics.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counters and timers of every decision about a request.
+ * Counters and timers for requests.
  *
  * @author banyanstile contributors
  */
@@ -73,12 +73,13 @@
 	}
 
 	/**
-	 * Counts an answer against both latency targets.
+	 * Records whether a response met the latency targets for the first token and between
+	 * tokens.
 	 * @param labels the labels
 	 * @param firstTokenNanos time to the first token
 	 * @param meanGapNanos mean time between tokens
 	 */
-	void answeredInTime(RequestLabels labels, long firstTokenNanos, long meanGapNanos) {
+	void recordLatency(RequestLabels labels, long firstTokenNanos, long meanGapNanos) {
 		if (firstTokenNanos > FIRST_TOKEN_TARGET_NANOS) {
 			objective(labels, Cause.LATE_FIRST_TOKEN);
 		}
@@ -88,7 +89,7 @@
 	}
 
 	/**
-	 * Counts a request against the error budget.
+	 * Records in the error budget whether a request met its objective.
 	 * @param labels the labels
 	 * @param missed why it missed its objective, or {@code null} if it met it
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/RequestServices.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestServices.java
@@ -5,28 +5,28 @@
 import org.banyanstile.server.endpoint.ServiceClient;
 
 /**
- * What the handlers of requests use.
+ * Services that the request handlers use.
  *
  * @param dataCentre data centre that this VM is in
  * @param configuration the configuration in force
  * @param serving the serving check
- * @param limiter rates and bursts
- * @param slots slots of endpoints
- * @param claims once-only claims
- * @param directory running requests of the fleet
+ * @param limiter token rates and bursts of teams
+ * @param slots endpoint slots
+ * @param claims claims for calls that must run at most once
+ * @param directory running requests with an idempotency key in the fleet
  * @param retries budget for retries
  * @param engine client for engines
  * @param service client for plain services
- * @param canceller cancels at engines
- * @param running running requests of this VM
- * @param answers finished answers
- * @param watch watch over running requests
+ * @param canceller cancels requests at engines
+ * @param running running requests with an idempotency key on this VM
+ * @param responses cache of complete responses
+ * @param watch monitors running requests
  * @param metrics counters and timers
  * @author banyanstile contributors
  */
 public record RequestServices(DataCentreId dataCentre, ConfigurationView configuration, ServingCheck serving,
 		TeamLimiter limiter, SlotSource slots, ClaimService claims, StreamDirectory directory, RetryPermits retries,
 		EngineClient engine, ServiceClient service, EngineCanceller canceller, RunningStreams running,
-		AnswerMemory answers, CallWatch watch, RequestMetrics metrics) {
+		AnswerMemory responses, CallWatch watch, RequestMetrics metrics) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/ResponseWriter.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ResponseWriter.java
@@ -11,14 +11,14 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes a response with a bound on the time that a slow caller can take. Used by one
- * thread.
+ * Writes a response, with a limit on the time that a slow caller can take for a write.
+ * Used by one thread.
  *
  * @author banyanstile contributors
  */
 final class ResponseWriter {
 
-	private static final long WRITE_NANOS = Duration.ofSeconds(10).toNanos();
+	private static final long WRITE_TIMEOUT_NANOS = Duration.ofSeconds(10).toNanos();
 
 	private final HttpServerExchange exchange;
 
@@ -46,7 +46,7 @@
 
 	void write(byte[] bytes) throws IOException {
 		StreamSinkChannel sink = sink();
-		long deadline = System.nanoTime() + WRITE_NANOS;
+		long deadline = System.nanoTime() + WRITE_TIMEOUT_NANOS;
 		ByteBuffer buffer = ByteBuffer.wrap(bytes);
 		while (buffer.hasRemaining()) {
 			if (sink.write(buffer) == 0) {
@@ -57,11 +57,11 @@
 	}
 
 	void end() throws IOException {
-		// After the last byte the server reads the next request from the connection.
+		// After the last byte the server may read the next request from the connection.
 		this.connection.stop();
 		StreamSinkChannel sink = sink();
 		sink.shutdownWrites();
-		flush(sink, System.nanoTime() + WRITE_NANOS);
+		flush(sink, System.nanoTime() + WRITE_TIMEOUT_NANOS);
 		this.exchange.endExchange();
 	}
 
@@ -77,7 +77,7 @@
 			this.exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds);
 		}
 		if (ex.type() == ErrorType.BODY_TOO_LARGE) {
-			// The unread rest of the body must not be taken for the next request.
+			// The unread rest of the body must not be parsed as the next request.
 			this.exchange.setPersistent(false);
 		}
 		send(ex.status(), "application/json", CallerJson.write(CallerJson.error(ex)));
@@ -98,11 +98,11 @@
 	}
 
 	private static void await(StreamSinkChannel sink, long deadline) throws IOException {
-		long left = deadline - System.nanoTime();
-		if (left <= 0) {
-			throw new IOException("caller accepts no data");
+		long remainingNanos = deadline - System.nanoTime();
+		if (remainingNanos <= 0) {
+			throw new IOException("caller accepted no data for 10 s");
 		}
-		sink.awaitWritable(left, TimeUnit.NANOSECONDS);
+		sink.awaitWritable(remainingNanos, TimeUnit.NANOSECONDS);
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/RetryPermits.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RetryPermits.java
@@ -8,7 +8,7 @@
 public interface RetryPermits {
 
 	/**
-	 * Counts a request.
+	 * Counts a request towards the retry budget.
 	 */
 	void requestStarted();
 
--- a/server/src/main/java/org/banyanstile/server/caller/RunState.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RunState.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * What a refusal states about the call at the endpoint.
+ * What an error states about the call at the endpoint.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/caller/RunningStream.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RunningStream.java
@@ -16,16 +16,16 @@
 final class RunningStream {
 
 	/**
-	 * A superseded request notices it within the longest wait for a token, 500 ms; one
-	 * that still waits for a slot or a prefill may take this long.
+	 * A superseded request ends within the maximum wait for a token, 500 ms, but may take
+	 * this long if it still waits for a slot or a prefill.
 	 */
-	private static final long SURRENDER_MILLIS = 3000;
+	private static final long SUPERSEDE_TIMEOUT_MILLIS = 3000;
 
 	private final String bodyHash;
 
 	private final CallControl control;
 
-	private final CompletableFuture<Optional<Handover>> left = new CompletableFuture<>();
+	private final CompletableFuture<Optional<StreamHandle>> ended = new CompletableFuture<>();
 
 	RunningStream(String bodyHash, CallControl control) {
 		this.bodyHash = bodyHash;
@@ -37,22 +37,22 @@
 	}
 
 	/**
-	 * Reports that the request has ended on this VM.
+	 * Marks the request as ended on this VM.
 	 * @param handover the stream that continues at the engine, or {@code null}
 	 */
-	void leave(@Nullable Handover handover) {
-		this.left.complete(Optional.ofNullable(handover));
+	void complete(@Nullable StreamHandle handover) {
+		this.ended.complete(Optional.ofNullable(handover));
 	}
 
 	/**
-	 * Ends the request and waits until it has left.
+	 * Aborts the request and waits until it has ended.
 	 * @return the stream that continues at the engine, or {@code null} if none does
 	 */
 	@Nullable
-	Handover supersede() {
+	StreamHandle supersede() {
 		this.control.abort(AbortReason.SUPERSEDED);
 		try {
-			return this.left.get(SURRENDER_MILLIS, TimeUnit.MILLISECONDS).orElse(null);
+			return this.ended.get(SUPERSEDE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).orElse(null);
 		}
 		catch (ExecutionException | TimeoutException ex) {
 			return null;
--- a/server/src/main/java/org/banyanstile/server/caller/RunningStreams.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RunningStreams.java
@@ -16,43 +16,46 @@
 	private final Map<StreamKey, RunningStream> streams = new ConcurrentHashMap<>();
 
 	/**
-	 * Enters a request in place of an older one with the same key.
+	 * Registers a request, in place of a previous request with the same key.
 	 * @param key identity of the request
-	 * @param mine the request
-	 * @return the older request, which the caller must supersede, or {@code null}
-	 * @throws RequestException if the older request has another body
+	 * @param stream the request
+	 * @return the previous request, which the calling code must supersede, or
+	 * {@code null}
+	 * @throws RequestException if the previous request has another body
 	 */
 	@Nullable
-	RunningStream enter(StreamKey key, RunningStream mine) throws RequestException {
-		AtomicReference<@Nullable RunningStream> older = new AtomicReference<>();
-		RunningStream now = this.streams.compute(key, (same, existing) -> {
-			older.set(existing);
-			return (existing == null || existing.bodyHash().equals(mine.bodyHash())) ? mine : existing;
+	RunningStream register(StreamKey key, RunningStream stream) throws RequestException {
+		AtomicReference<@Nullable RunningStream> previous = new AtomicReference<>();
+		RunningStream registered = this.streams.compute(key, (same, existing) -> {
+			previous.set(existing);
+			return (existing == null || existing.bodyHash().equals(stream.bodyHash())) ? stream : existing;
 		});
-		if (now != mine) {
+		if (registered != stream) {
 			throw RequestException.notRun(ErrorType.KEY_REUSED, "the idempotency key was used with another body");
 		}
-		return older.get();
+		return previous.get();
 	}
 
 	/**
-	 * Removes a request.
+	 * Unregisters a request.
 	 * @param key identity of the request
-	 * @param mine the request
-	 * @return whether no newer request had taken its place
+	 * @param stream the request
+	 * @return whether the request was still registered, that is, not replaced by a newer
+	 * one
 	 */
-	boolean leave(StreamKey key, RunningStream mine) {
-		return this.streams.remove(key, mine);
+	boolean unregister(StreamKey key, RunningStream stream) {
+		return this.streams.remove(key, stream);
 	}
 
 	/**
-	 * Ends a request of this VM because another VM serves its repeat.
+	 * Aborts a request on this VM because another VM serves a repeated request with the
+	 * same key.
 	 * @param key identity of the request
-	 * @return where its stream goes on, or {@code null} if it has none
+	 * @return where the stream continues, or {@code null} if there is none
 	 */
 	public @Nullable StreamLocation surrender(StreamKey key) {
 		RunningStream stream = this.streams.get(key);
-		Handover handover = (stream != null) ? stream.supersede() : null;
+		StreamHandle handover = (stream != null) ? stream.supersede() : null;
 		if (stream == null || handover == null) {
 			return null;
 		}
--- a/server/src/main/java/org/banyanstile/server/caller/ServiceDispatch.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServiceDispatch.java
@@ -9,7 +9,7 @@
 import org.banyanstile.server.endpoint.ServiceResponse;
 
 /**
- * Sends one call to endpoints of a plain service. Used by one thread.
+ * Sends one call to the endpoints of a plain service. Used by one thread.
  *
  * @author banyanstile contributors
  */
@@ -17,7 +17,7 @@
 
 	private static final int MAX_ATTEMPTS = 3;
 
-	private static final long RETRY_MILLIS = 100;
+	private static final long RETRY_AFTER_MILLIS = 100;
 
 	private final RequestServices services;
 
@@ -51,19 +51,19 @@
 	}
 
 	/**
-	 * Sends a call that must not be repeated. Only a refused connection lets it go to
-	 * another endpoint.
+	 * Sends a call that must run at most once. It is sent to another endpoint only after
+	 * a refused connection.
 	 * @return the outcome
 	 */
-	CallOutcome once() {
-		boolean refused = false;
+	CallOutcome sendOnce() {
+		boolean connectionRefused = false;
 		while (true) {
 			SlotDecision.Granted slot;
 			try {
-				slot = slot();
+				slot = acquireSlot();
 			}
 			catch (RequestException ex) {
-				return new CallOutcome.NotRun(refused ? NotRunReason.NO_ENDPOINT : NotRunReason.OVERLOADED);
+				return new CallOutcome.NotRun(connectionRefused ? NotRunReason.NO_ENDPOINT : NotRunReason.OVERLOADED);
 			}
 			if (!this.services.serving().mayServe()) {
 				this.services.slots().release(slot, SlotOutcome.CANCELLED);
@@ -73,7 +73,7 @@
 				return outcome(send(slot));
 			}
 			catch (EndpointUnreachableException ex) {
-				refused = true;
+				connectionRefused = true;
 				this.finder.exclude(slot.endpoint().id());
 			}
 			catch (EndpointBrokenException ex) {
@@ -82,22 +82,23 @@
 		}
 	}
 
-	private static CallOutcome outcome(ServiceResponse answer) {
-		StoredAnswer stored = stored(answer);
-		if (answer.status() < 400) {
+	private static CallOutcome outcome(ServiceResponse response) {
+		StoredAnswer stored = stored(response);
+		if (response.status() < 400) {
 			return new CallOutcome.Answered(stored);
 		}
-		// A server error other than "overloaded or cold" can follow a call that has run.
-		return (answer.status() < 500 || answer.status() == 503) ? new CallOutcome.RefusedByEndpoint(stored)
+		// After a 5xx status the call may have run, except after 503, which means that
+		// the endpoint is overloaded or in cold start.
+		return (response.status() < 500 || response.status() == 503) ? new CallOutcome.RefusedByEndpoint(stored)
 				: new CallOutcome.OutcomeUnknown();
 	}
 
 	/**
-	 * Sends a call that may be repeated, within the retry budget.
-	 * @return the answer
-	 * @throws RequestException if no endpoint answered or one refused
+	 * Sends a call that may run more than once, with retries within the retry budget.
+	 * @return the response
+	 * @throws RequestException if no attempt succeeded
 	 */
-	StoredAnswer repeatable() throws RequestException {
+	StoredAnswer sendWithRetries() throws RequestException {
 		this.services.retries().requestStarted();
 		boolean mayHaveRun = false;
 		RequestException failure = null;
@@ -121,31 +122,33 @@
 	}
 
 	private static boolean isRetryable(RequestException ex) {
-		boolean server = ex.run() == RunState.REFUSED_BY_ENDPOINT && (ex.status() == 429 || ex.status() >= 500);
-		return server || ex.type() == ErrorType.OUTCOME_UNKNOWN || ex.type() == ErrorType.OVERLOADED;
+		boolean serverRefusal = ex.run() == RunState.REFUSED_BY_ENDPOINT && (ex.status() == 429 || ex.status() >= 500);
+		return serverRefusal || ex.type() == ErrorType.OUTCOME_UNKNOWN || ex.type() == ErrorType.OVERLOADED;
 	}
 
 	private StoredAnswer attempt() throws RequestException {
-		SlotDecision.Granted slot = slot();
+		SlotDecision.Granted slot = acquireSlot();
 		try {
-			ServiceResponse answer = send(slot);
-			if (answer.status() < 400) {
-				return stored(answer);
+			ServiceResponse response = send(slot);
+			if (response.status() < 400) {
+				return stored(response);
 			}
 			this.finder.exclude(slot.endpoint().id());
-			throw OnceOutcomes.refused(stored(answer));
+			throw OnceOnlyOutcomes.refused(stored(response));
 		}
 		catch (EndpointUnreachableException ex) {
 			this.finder.exclude(slot.endpoint().id());
-			throw RequestException.notRun(ErrorType.OVERLOADED, "no endpoint accepted a connection", RETRY_MILLIS);
+			throw RequestException.notRun(ErrorType.OVERLOADED, "no endpoint accepted a connection",
+					RETRY_AFTER_MILLIS);
 		}
 		catch (EndpointBrokenException ex) {
 			this.finder.exclude(slot.endpoint().id());
-			throw RequestException.unknown(ErrorType.OUTCOME_UNKNOWN, "the endpoint did not answer", RETRY_MILLIS);
+			throw RequestException.unknown(ErrorType.OUTCOME_UNKNOWN, "no complete response from the endpoint",
+					RETRY_AFTER_MILLIS);
 		}
 	}
 
-	private SlotDecision.Granted slot() throws RequestException {
+	private SlotDecision.Granted acquireSlot() throws RequestException {
 		return this.finder.find(PoolRole.SERVICE, this.services.dataCentre(), this.requestId, this.waitMillis);
 	}
 
@@ -153,9 +156,9 @@
 			throws EndpointUnreachableException, EndpointBrokenException {
 		SlotOutcome outcome = SlotOutcome.BROKEN;
 		try {
-			ServiceResponse answer = this.services.service().call(slot.endpoint().address(), this.call);
-			outcome = (answer.status() < 500) ? SlotOutcome.COMPLETED : SlotOutcome.FAILED;
-			return answer;
+			ServiceResponse response = this.services.service().call(slot.endpoint().address(), this.call);
+			outcome = (response.status() < 500) ? SlotOutcome.COMPLETED : SlotOutcome.FAILED;
+			return response;
 		}
 		catch (EndpointUnreachableException ex) {
 			outcome = SlotOutcome.FAILED;
@@ -166,9 +169,9 @@
 		}
 	}
 
-	private static StoredAnswer stored(ServiceResponse answer) {
-		return new StoredAnswer(answer.status(), answer.contentType(),
-				new String(answer.body(), StandardCharsets.UTF_8));
+	private static StoredAnswer stored(ServiceResponse response) {
+		return new StoredAnswer(response.status(), response.contentType(),
+				new String(response.body(), StandardCharsets.UTF_8));
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/ServiceHandler.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServiceHandler.java
@@ -14,7 +14,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Handles calls of plain services.
+ * Handles calls to plain services.
  *
  * @author banyanstile contributors
  */
@@ -23,11 +23,12 @@
 	static final String PREFIX = "/v1/services/";
 
 	/**
-	 * A plain call counts as one token, so that a team cannot send any number of them.
+	 * A call to a plain service counts as one token, so that the team limit applies to
+	 * it.
 	 */
-	private static final long COST = 1;
+	private static final long TOKEN_COST = 1;
 
-	private static final long MAX_WAIT_MILLIS = 30_000;
+	private static final long MAX_RESPONSE_WAIT_MILLIS = 30_000;
 
 	private static final long SLOT_WAIT_MILLIS = 1000;
 
@@ -46,11 +47,11 @@
 		RequestLabels labels = new RequestLabels(team, route.service() + route.path(),
 				this.services.dataCentre().name());
 		try {
-			StoredAnswer answer = answer(request, caller, route, labels);
+			StoredAnswer response = call(request, caller, route, labels);
 			this.services.metrics().answered(labels);
 			this.services.metrics().objective(labels, null);
-			String type = (answer.contentType() != null) ? answer.contentType() : "application/octet-stream";
-			writer.send(answer.status(), type, answer.body().getBytes(StandardCharsets.UTF_8));
+			String type = (response.contentType() != null) ? response.contentType() : "application/octet-stream";
+			writer.send(response.status(), type, response.body().getBytes(StandardCharsets.UTF_8));
 		}
 		catch (RequestException ex) {
 			this.services.metrics().refused(labels, ex);
@@ -60,34 +61,35 @@
 
 	private static ServiceRoute route(HttpServerExchange exchange, ServingConfiguration configuration)
 			throws RequestException {
-		String rest = exchange.getRequestPath().substring(PREFIX.length());
-		int slash = rest.indexOf('/');
-		ServiceRoute route = (slash > 0) ? configuration.route(rest.substring(0, slash),
-				exchange.getRequestMethod().toString(), rest.substring(slash)) : null;
+		String servicePath = exchange.getRequestPath().substring(PREFIX.length());
+		int slash = servicePath.indexOf('/');
+		ServiceRoute route = (slash > 0) ? configuration.route(servicePath.substring(0, slash),
+				exchange.getRequestMethod().toString(), servicePath.substring(slash)) : null;
 		if (route == null) {
 			throw RequestException.notRun(ErrorType.NOT_FOUND, "there is no such route");
 		}
 		return route;
 	}
 
-	private StoredAnswer answer(CallerRequest request, @Nullable Caller caller, ServiceRoute route,
-			RequestLabels labels) throws RequestException {
+	private StoredAnswer call(CallerRequest request, @Nullable Caller caller, ServiceRoute route, RequestLabels labels)
+			throws RequestException {
 		if (!route.idempotent() && caller == null) {
-			throw RequestException.notRun(ErrorType.UNAUTHORIZED, "a call that must not be repeated needs a key");
+			throw RequestException.notRun(ErrorType.UNAUTHORIZED,
+					"a call that must run at most once requires an API key");
 		}
 		if (!route.idempotent() && request.idempotencyKey() == null) {
 			throw RequestException.notRun(ErrorType.INVALID_REQUEST, "this route requires an Idempotency-Key");
 		}
 		ServiceDispatch dispatch = dispatch(request, caller, route, labels);
 		if (route.idempotent() || caller == null) {
-			checkServing();
-			return limited(caller, labels, dispatch::repeatable);
+			requireServing();
+			return runWithinLimit(caller, labels, dispatch::sendWithRetries);
 		}
 		ClaimKey key = new ClaimKey(caller.team(), Hashes.sha256(String.valueOf(request.idempotencyKey())),
 				dispatch.hash());
 		try {
-			checkServing();
-			return limited(caller, labels, () -> once(key, dispatch));
+			requireServing();
+			return runWithinLimit(caller, labels, () -> claimAndRun(key, dispatch));
 		}
 		catch (RequestException ex) {
 			throw isMadeWithoutClaim(ex) ? withEarlierAttempts(ex, key) : ex;
@@ -100,9 +102,9 @@
 	}
 
 	/**
-	 * Withdraws the statement "not run" from a refusal if an earlier attempt with the
-	 * same idempotency key may have run. A caller that repeats a booking whose answer was
-	 * lost would otherwise book again under another key.
+	 * Changes the run state of a refusal from "not run" to "unknown" if an earlier
+	 * attempt with the same idempotency key may have run. Otherwise a caller that repeats
+	 * a booking whose response was lost would book again under another key.
 	 * @param ex the refusal
 	 * @param key identity of the call
 	 * @return the refusal
@@ -111,32 +113,33 @@
 		return this.services.claims().mayHaveRun(key) ? ex.afterAttempt() : ex;
 	}
 
-	private void checkServing() throws RequestException {
+	private void requireServing() throws RequestException {
 		if (!this.services.serving().mayServe()) {
-			throw RequestException.notRun(ErrorType.NOT_SERVING, "this VM may not serve now", 0);
+			throw RequestException.notRun(ErrorType.NOT_SERVING, "this VM is not allowed to serve now", 0);
 		}
 	}
 
-	private StoredAnswer limited(@Nullable Caller caller, RequestLabels labels, Call call) throws RequestException {
+	private StoredAnswer runWithinLimit(@Nullable Caller caller, RequestLabels labels, Call call)
+			throws RequestException {
 		LimitDecision.Reserved reservation = (caller != null) ? reserve(caller) : null;
 		this.services.metrics().accepted(labels);
 		try {
-			return call.answer();
+			return call.run();
 		}
 		finally {
 			if (reservation != null) {
-				this.services.limiter().settle(reservation, COST);
+				this.services.limiter().settle(reservation, TOKEN_COST);
 			}
 		}
 	}
 
 	private LimitDecision.Reserved reserve(Caller caller) throws RequestException {
-		LimitDecision decision = this.services.limiter().reserve(caller.team(), COST);
+		LimitDecision decision = this.services.limiter().reserve(caller.team(), TOKEN_COST);
 		if (decision instanceof LimitDecision.Reserved reserved) {
 			return reserved;
 		}
 		long retryAfter = (decision instanceof LimitDecision.Limited limited) ? limited.retryAfterMillis() : -1;
-		throw RequestException.notRun(ErrorType.RATE_LIMITED, "the team exceeds its rate", retryAfter);
+		throw RequestException.notRun(ErrorType.RATE_LIMITED, "the team exceeds its token rate", retryAfter);
 	}
 
 	private ServiceDispatch dispatch(CallerRequest request, @Nullable Caller caller, ServiceRoute route,
@@ -155,15 +158,15 @@
 		String query = KeyScrubber.query(exchange.getQueryString(), request.presentedKey());
 		String path = route.path() + (query.isEmpty() ? "" : "?" + query);
 		ServiceCall call = new ServiceCall(route.method(), path, headers, request.body(),
-				Duration.ofMillis(Math.min(MAX_WAIT_MILLIS, request.deadlineMillis())));
+				Duration.ofMillis(Math.min(MAX_RESPONSE_WAIT_MILLIS, request.deadlineMillis())));
 		Pool pool = new Pool(this.services.dataCentre(), route.service(), PoolRole.SERVICE);
 		TeamId team = (caller != null) ? caller.team() : TeamId.of("open");
-		SlotDemand demand = new SlotDemand(pool, team, COST, id, request.fingerprint(), 0, Set.of());
+		SlotDemand demand = new SlotDemand(pool, team, TOKEN_COST, id, request.fingerprint(), 0, Set.of());
 		return new ServiceDispatch(this.services, new SlotFinder(this.services, request.configuration(), demand), call,
 				id, Math.min(SLOT_WAIT_MILLIS, request.deadlineMillis()), labels);
 	}
 
-	private StoredAnswer once(ClaimKey key, ServiceDispatch dispatch) throws RequestException {
+	private StoredAnswer claimAndRun(ClaimKey key, ServiceDispatch dispatch) throws RequestException {
 		ClaimDecision decision = this.services.claims().claim(key);
 		if (decision instanceof ClaimDecision.KeyReused) {
 			throw RequestException.notRun(ErrorType.KEY_REUSED, "the idempotency key was used with another request");
@@ -178,15 +181,15 @@
 					unavailable.retryAfterMillis());
 		}
 		if (decision instanceof ClaimDecision.Run run) {
-			return OnceOutcomes.answer(runOnce(run, dispatch));
+			return OnceOnlyOutcomes.answer(runOnce(run, dispatch));
 		}
-		return OnceOutcomes.answer(((ClaimDecision.Decided) decision).outcome());
+		return OnceOnlyOutcomes.answer(((ClaimDecision.Decided) decision).outcome());
 	}
 
 	private CallOutcome runOnce(ClaimDecision.Run run, ServiceDispatch dispatch) {
 		CallOutcome outcome = new CallOutcome.OutcomeUnknown();
 		try {
-			outcome = dispatch.once();
+			outcome = dispatch.sendOnce();
 			return outcome;
 		}
 		finally {
@@ -195,14 +198,14 @@
 	}
 
 	/**
-	 * A call within the limit of the team.
+	 * A call that counts towards the team limit.
 	 *
 	 * @author banyanstile contributors
 	 */
 	@FunctionalInterface
 	private interface Call {
 
-		StoredAnswer answer() throws RequestException;
+		StoredAnswer run() throws RequestException;
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/ServingCheck.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServingCheck.java
@@ -1,8 +1,8 @@
 package org.banyanstile.server.caller;
 
 /**
- * Tells whether this VM may serve now. Checked before admission, before dispatch and
- * while an answer streams.
+ * Tells whether this VM is allowed to serve now. Checked before admission, before
+ * dispatch and while a response is streamed.
  *
  * @author banyanstile contributors
  */
@@ -10,8 +10,8 @@
 public interface ServingCheck {
 
 	/**
-	 * Returns whether this VM may serve.
-	 * @return whether it may serve
+	 * Returns whether this VM is allowed to serve.
+	 * @return whether it is
 	 */
 	boolean mayServe();
 
--- a/server/src/main/java/org/banyanstile/server/caller/ServingConfiguration.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServingConfiguration.java
@@ -6,7 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One version of the configuration with the lookups that requests need. Immutable.
+ * One version of the configuration, with the lookups that request handling needs.
+ * Immutable.
  *
  * @author banyanstile contributors
  */
@@ -29,14 +30,14 @@
 	/**
 	 * Returns whether the key of a caller is still active.
 	 * @param caller the caller
-	 * @return whether its requests may go on
+	 * @return whether requests with this key may continue
 	 */
 	boolean accepts(Caller caller);
 
 	/**
 	 * Finds a route.
 	 * @param service name of the service
-	 * @param method request method
+	 * @param method the HTTP method
 	 * @param path path below the service, starting with a slash
 	 * @return the route, or {@code null} if there is none
 	 */
@@ -44,7 +45,7 @@
 	ServiceRoute route(String service, String method, String path);
 
 	/**
-	 * Returns all endpoints, an engine of both roles once for each role.
+	 * Returns all endpoints. An engine with both roles is listed once for each role.
 	 * @return the endpoints
 	 */
 	List<EndpointTarget> endpoints();
@@ -63,8 +64,8 @@
 	int weightOf(String team);
 
 	/**
-	 * Returns the bounds on requests.
-	 * @return the bounds
+	 * Returns the size limits of requests.
+	 * @return the limits
 	 */
 	RequestLimits limits();
 
--- a/server/src/main/java/org/banyanstile/server/caller/SlotDecision.java
+++ b/server/src/main/java/org/banyanstile/server/caller/SlotDecision.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.caller;
 
 /**
- * Decision on a demand for a slot.
+ * Decision on a request for an endpoint slot.
  *
  * @author banyanstile contributors
  */
@@ -12,7 +12,7 @@
 	 *
 	 * @param pool the pool
 	 * @param requestId identifier of the request
-	 * @param endpoint the endpoint that the slot belongs to
+	 * @param endpoint the endpoint of the slot
 	 * @author banyanstile contributors
 	 */
 	record Granted(Pool pool, String requestId, EndpointTarget endpoint) implements SlotDecision {
@@ -20,7 +20,7 @@
 	}
 
 	/**
-	 * No slot can be had in time.
+	 * No slot becomes free in time.
 	 *
 	 * @param retryAfterMillis time after which a slot is likely to be free
 	 * @author banyanstile contributors
--- a/server/src/main/java/org/banyanstile/server/caller/SlotDemand.java
+++ b/server/src/main/java/org/banyanstile/server/caller/SlotDemand.java
@@ -6,14 +6,14 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * A request for one slot of a pool.
+ * Request for one endpoint slot of a pool.
  *
  * @param pool the pool
- * @param team the team that the slot is accounted to
+ * @param team the team that the slot is charged to
  * @param cost cost in tokens
  * @param requestId identifier of the request
- * @param fingerprint hash of team and body, the same for every repeat of a request
- * @param deadlineMillis longest time to wait
+ * @param fingerprint hash of team and body, the same for every repeated request
+ * @param deadlineMillis maximum time to wait
  * @param excluded endpoints that must not be chosen
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/caller/SlotOutcome.java
+++ b/server/src/main/java/org/banyanstile/server/caller/SlotOutcome.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.caller;
 
 /**
- * How the use of a slot ended.
+ * How the use of an endpoint slot ended.
  *
  * @author banyanstile contributors
  */
@@ -18,12 +18,13 @@
 	CANCELLED,
 
 	/**
-	 * The endpoint answered with an error, such as being full or cold.
+	 * The endpoint responded with an error, such as being full or in cold start, or
+	 * refused the connection.
 	 */
 	FAILED,
 
 	/**
-	 * The connection was refused or broke, so the endpoint may have crashed.
+	 * The connection broke or timed out, so the endpoint may have crashed.
 	 */
 	BROKEN
 
--- a/server/src/main/java/org/banyanstile/server/caller/SlotSource.java
+++ b/server/src/main/java/org/banyanstile/server/caller/SlotSource.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.caller;
 
 /**
- * Grants slots of endpoints.
+ * Grants endpoint slots.
  *
  * @author banyanstile contributors
  */
@@ -21,7 +21,7 @@
 	void renew(SlotDecision.Granted slot);
 
 	/**
-	 * Gives a slot back.
+	 * Releases a slot.
 	 * @param slot the slot
 	 * @param outcome how its use ended
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/StoredAnswer.java
+++ b/server/src/main/java/org/banyanstile/server/caller/StoredAnswer.java
@@ -3,10 +3,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A complete answer of an endpoint, small enough to be stored.
+ * A complete response of an endpoint, small enough to be stored.
  *
  * @param status status code
- * @param contentType media type, or {@code null} if the endpoint gave none
+ * @param contentType media type, or {@code null} if the response has none
  * @param body the body as text
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/caller/StreamDirectory.java
+++ b/server/src/main/java/org/banyanstile/server/caller/StreamDirectory.java
@@ -8,11 +8,11 @@
 public interface StreamDirectory {
 
 	/**
-	 * Makes this VM the one that serves a request. A VM that served it before ends its
-	 * connection to the caller without cancelling the stream at the engine.
+	 * Makes this VM the one that serves a request. The VM that served it before, if any,
+	 * ends its connection to the caller without cancelling the stream at the engine.
 	 * @param key identity of the request
 	 * @param bodyHash hash of the request body, in hexadecimal
-	 * @return what ran before
+	 * @return whether and where a stream of the request runs
 	 */
 	TakeoverResult takeOver(StreamKey key, String bodyHash);
 
--- a/server/src/main/java/org/banyanstile/server/caller/Handover.java
+++ b/server/src/main/java/org/banyanstile/server/caller/StreamHandle.java
@@ -1,12 +1,12 @@
 package org.banyanstile.server.caller;
 
 /**
- * A stream that runs at an engine and whose connection to the caller has ended.
+ * Identifies a stream at a decode engine, prepared or running, and the slot that it uses.
  *
  * @param requestId identifier under which the engine knows the request
  * @param slot the decode slot
  * @author banyanstile contributors
  */
-record Handover(String requestId, SlotDecision.Granted slot) {
+record StreamHandle(String requestId, SlotDecision.Granted slot) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/TakeoverResult.java
+++ b/server/src/main/java/org/banyanstile/server/caller/TakeoverResult.java
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * The request that runs with this idempotency key has another body.
+	 * The running request with this idempotency key has another body.
 	 *
 	 * @author banyanstile contributors
 	 */
--- a/server/src/main/java/org/banyanstile/server/caller/TeamLimiter.java
+++ b/server/src/main/java/org/banyanstile/server/caller/TeamLimiter.java
@@ -3,7 +3,7 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Enforces the rate and burst of teams.
+ * Enforces the token rate and burst of teams.
  *
  * @author banyanstile contributors
  */
@@ -20,7 +20,7 @@
 	/**
 	 * Ends a reservation and returns its unused part.
 	 * @param reservation the reservation
-	 * @param usedTokens tokens that were spent
+	 * @param usedTokens number of tokens that were used
 	 */
 	void settle(LimitDecision.Reserved reservation, long usedTokens);
 
--- a/server/src/main/java/org/banyanstile/server/caller/package-info.java
+++ b/server/src/main/java/org/banyanstile/server/caller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Interface for callers, and the narrow interfaces through which a request uses the
+ * HTTP interface for callers, and the interfaces through which request handling uses the
  * coordination of the fleet.
  */
 @NullMarked
