--- a/core/src/main/java/org/banyanstile/core/placement/AdmissionLine.java
+++ b/core/src/main/java/org/banyanstile/core/placement/AdmissionLine.java
@@ -4,49 +4,49 @@
 import java.util.TreeSet;
 
 /**
- * Line of requests that wait for memory at an engine. Requests that can still meet their
- * objective come first, since a late answer is worth a fraction of one in time; among
- * these the more urgent and then the smaller come first, because a small request frees
- * its memory soon and more of them meet their objective. Late requests keep the order of
- * their arrival, so large ones are delayed but not shut out. Only the first few try to
- * reserve memory, so that a long line does not flood the engines with reservations. Safe
- * for use by several threads.
+ * Priority queue of the requests that wait for memory at an engine. Requests that can
+ * still meet their latency objective come first, since a late response is worth only a
+ * fraction of one that is on time. Among these, the more urgent and then the smaller
+ * requests come first: a small request frees its memory soon, so more requests meet their
+ * objective. Late requests keep their order of arrival, so large ones are delayed but do
+ * not starve. Only the first few requests try to reserve memory, so that a long queue
+ * does not flood the engines with reservations. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class AdmissionLine {
 
-	private final int width;
+	private final int maxReserving;
 
 	private final TreeSet<Ticket> tickets = new TreeSet<>(Comparator.comparing(Ticket::late)
 		.thenComparing(Ticket::priority)
 		.thenComparing(Ticket::size)
 		.thenComparing(Ticket::number));
 
-	private long numbers;
+	private long nextNumber;
 
-	private AdmissionLine(int width) {
-		this.width = width;
+	private AdmissionLine(int maxReserving) {
+		this.maxReserving = maxReserving;
 	}
 
 	/**
-	 * Creates an empty line.
-	 * @param width how many requests may try to reserve memory at once
-	 * @return the line
+	 * Creates an empty queue.
+	 * @param maxReserving how many requests may try to reserve memory at once
+	 * @return the queue
 	 */
-	public static AdmissionLine create(int width) {
-		return new AdmissionLine(width);
+	public static AdmissionLine create(int maxReserving) {
+		return new AdmissionLine(maxReserving);
 	}
 
 	/**
-	 * Joins the line.
-	 * @param late whether the request cannot meet its objective any more
+	 * Adds a request to the queue.
+	 * @param late whether the request can no longer meet its objective
 	 * @param priority rank, 0 for the most urgent
-	 * @param size size of the request
+	 * @param size tokens that the request needs
 	 * @return the ticket
 	 */
 	public synchronized Ticket join(boolean late, int priority, long size) {
-		Ticket ticket = new Ticket(late, priority, late ? 0 : size, this.numbers++);
+		Ticket ticket = new Ticket(late, priority, late ? 0 : size, this.nextNumber++);
 		this.tickets.add(ticket);
 		return ticket;
 	}
@@ -65,7 +65,7 @@
 	}
 
 	/**
-	 * Leaves the line.
+	 * Removes a request from the queue.
 	 * @param ticket the ticket
 	 */
 	public synchronized void leave(Ticket ticket) {
@@ -79,18 +79,18 @@
 	 * @return whether it may
 	 */
 	public synchronized boolean isTurn(Ticket ticket) {
-		return this.tickets.headSet(ticket).size() < this.width;
+		return this.tickets.headSet(ticket).size() < this.maxReserving;
 	}
 
 	/**
-	 * Wakes the waiting requests after memory became free.
+	 * Wakes the waiting requests after an engine freed memory.
 	 */
 	public synchronized void memoryFreed() {
 		notifyAll();
 	}
 
 	/**
-	 * Waits for a change of the line or of the free memory.
+	 * Waits until the queue or the free memory changes.
 	 * @param millis longest wait
 	 * @throws InterruptedException if the thread is interrupted
 	 */
@@ -107,11 +107,11 @@
 	}
 
 	/**
-	 * A place in the line.
+	 * Position of a request in the queue.
 	 *
-	 * @param late whether the request cannot meet its objective any more
+	 * @param late whether the request can no longer meet its objective
 	 * @param priority rank, 0 for the most urgent
-	 * @param size size of the request, 0 if it is late
+	 * @param size tokens that the request needs, 0 if it is late
 	 * @param number order of arrival
 	 * @author banyanstile contributors
 	 */
--- a/core/src/main/java/org/banyanstile/core/placement/EndpointHealth.java
+++ b/core/src/main/java/org/banyanstile/core/placement/EndpointHealth.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Health of endpoints as this VM's own requests find it. Endpoints that cannot be reached
- * are avoided for a growing time; endpoints that fail or are slow weigh more than others.
- * Safe for use by several threads.
+ * Health of endpoints, measured by the requests of this VM. An endpoint that cannot be
+ * reached is avoided for a time that grows with each failed attempt. An endpoint that
+ * fails or is slow has a higher cost than others. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class EndpointHealth {
 
 	/**
-	 * First pause after an endpoint was not reached. About the time that a process takes
+	 * First pause after an endpoint was unreachable. About the time that a process takes
 	 * to start.
 	 */
 	static final long FIRST_PAUSE_NANOS = 300_000_000L;
@@ -25,30 +25,31 @@
 	static final long MAX_PAUSE_NANOS = 2_400_000_000L;
 
 	/**
-	 * Weight of the newest request in the means. Ten requests replace most of the old
-	 * mean.
+	 * Weight of the newest request in the moving averages. Ten requests replace most of
+	 * the old average.
 	 */
-	static final double NEWEST = 0.2;
+	static final double NEWEST_WEIGHT = 0.2;
 
 	private final Map<String, State> states = new HashMap<>();
 
 	/**
-	 * Notes an answer.
+	 * Records a response.
 	 * @param endpoint id of the endpoint
-	 * @param millis time to the answer
-	 * @param failed whether the answer was a failure of the endpoint
+	 * @param millis time to the response
+	 * @param failed whether the response was a failure of the endpoint
 	 * @param now the current time in nanoseconds
 	 */
 	public synchronized void answered(String endpoint, long millis, boolean failed, long now) {
 		State state = state(endpoint, now);
 		state.unreachable = 0;
 		state.pausedUntil = Long.MIN_VALUE;
-		state.failures += NEWEST * ((failed ? 1 : 0) - state.failures);
-		state.millis = (state.millis == 0) ? millis : state.millis + NEWEST * (millis - state.millis);
+		state.failureRate += NEWEST_WEIGHT * ((failed ? 1 : 0) - state.failureRate);
+		state.millis = (state.millis == 0) ? millis : state.millis + NEWEST_WEIGHT * (millis - state.millis);
 	}
 
 	/**
-	 * Notes that an endpoint was not reached, or broke off without an answer.
+	 * Records that an endpoint could not be reached, or closed the connection without a
+	 * response.
 	 * @param endpoint id of the endpoint
 	 * @param now the current time in nanoseconds
 	 */
@@ -56,14 +57,14 @@
 		State state = state(endpoint, now);
 		long pause = Math.min(FIRST_PAUSE_NANOS << Math.min(state.unreachable, 4), MAX_PAUSE_NANOS);
 		state.unreachable++;
-		state.failures += NEWEST * (1 - state.failures);
+		state.failureRate += NEWEST_WEIGHT * (1 - state.failureRate);
 		state.pausedUntil = now + pause;
 	}
 
 	/**
-	 * Notes that an endpoint refused a request before it ran. A pause of the length of
-	 * the first one keeps a line of requests from asking a full or changing endpoint in
-	 * vain.
+	 * Records that an endpoint refused a request before it ran. A pause of
+	 * {@link #FIRST_PAUSE_NANOS} keeps queued requests from being sent to an endpoint
+	 * that is full or changes its role.
 	 * @param endpoint id of the endpoint
 	 * @param now the current time in nanoseconds
 	 */
@@ -73,7 +74,7 @@
 	}
 
 	/**
-	 * Notes that another instance answers at the address of an endpoint.
+	 * Records that another instance responds at the address of an endpoint.
 	 * @param endpoint id of the endpoint
 	 * @param now the current time in nanoseconds
 	 */
@@ -93,9 +94,10 @@
 	}
 
 	/**
-	 * Returns how much a request at an endpoint is expected to cost, relative to others.
+	 * Returns the expected cost of a request at an endpoint, relative to other endpoints.
 	 * @param endpoint id of the endpoint
-	 * @param typicalMillis typical time to an answer, for an endpoint without one
+	 * @param typicalMillis typical response time, for an endpoint that has not responded
+	 * yet
 	 * @return the cost, above 0
 	 */
 	public synchronized double cost(String endpoint, double typicalMillis) {
@@ -104,15 +106,15 @@
 			return typicalMillis;
 		}
 		double millis = (state.millis > 0) ? state.millis : typicalMillis;
-		return Math.max(1, millis) / Math.max(0.05, 1 - state.failures);
+		return Math.max(1, millis) / Math.max(0.05, 1 - state.failureRate);
 	}
 
 	private State state(String endpoint, long now) {
 		if (this.states.size() > 4096) {
-			this.states.values().removeIf((state) -> now - state.used > 60_000_000_000L);
+			this.states.values().removeIf((state) -> now - state.usedAt > 60_000_000_000L);
 		}
 		State state = this.states.computeIfAbsent(endpoint, (id) -> new State());
-		state.used = now;
+		state.usedAt = now;
 		return state;
 	}
 
@@ -123,7 +125,7 @@
 	 */
 	private static final class State {
 
-		private double failures;
+		private double failureRate;
 
 		private double millis;
 
@@ -131,7 +133,7 @@
 
 		private long pausedUntil = Long.MIN_VALUE;
 
-		private long used;
+		private long usedAt;
 
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/EndpointLoads.java
+++ b/core/src/main/java/org/banyanstile/core/placement/EndpointLoads.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 
 /**
- * Work that all VMs have at each endpoint: this VM's own, exactly, and what the other VMs
- * last reported. Safe for use by several threads.
+ * Load of each endpoint from all VMs: the exact load of this VM and the last reported
+ * loads of the other VMs. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class EndpointLoads {
 
 	/**
-	 * A report that is older says nothing about the present load. Twenty rounds of 250 ms
-	 * between VMs.
+	 * Age after which a report no longer describes the present load. Twenty gossip rounds
+	 * of 250 ms.
 	 */
-	static final long REPORT_NANOS = 5_000_000_000L;
+	static final long MAX_REPORT_AGE_NANOS = 5_000_000_000L;
 
 	private final Map<String, Load> own = new HashMap<>();
 
 	private final Map<String, Report> reports = new HashMap<>();
 
 	/**
-	 * Notes the begin of a request.
+	 * Records the start of a request.
 	 * @param endpoint id of the endpoint
 	 * @param tokens its tokens
 	 */
@@ -33,16 +33,16 @@
 	}
 
 	/**
-	 * Notes the end of a request.
+	 * Records the end of a request.
 	 * @param endpoint id of the endpoint
-	 * @param tokens its tokens, as at its begin
+	 * @param tokens its tokens, the same number as at its start
 	 */
 	public synchronized void end(String endpoint, long tokens) {
 		this.own.computeIfPresent(endpoint, (id, old) -> (old.requests() <= 1) ? null : old.plus(-1, -tokens));
 	}
 
 	/**
-	 * Returns the work of this VM.
+	 * Returns the loads of this VM.
 	 * @return its loads
 	 */
 	public synchronized List<Load> own() {
@@ -59,13 +59,13 @@
 		Map<String, Load> byEndpoint = new HashMap<>();
 		loads.forEach((load) -> byEndpoint.put(load.endpoint(), load));
 		this.reports.put(vm, new Report(byEndpoint, now));
-		this.reports.values().removeIf((report) -> now - report.at() > REPORT_NANOS);
+		this.reports.values().removeIf((report) -> now - report.receivedAt() > MAX_REPORT_AGE_NANOS);
 	}
 
 	/**
-	 * Returns the work of all VMs at an endpoint.
+	 * Returns the load of an endpoint from all VMs.
 	 * @param endpoint id of the endpoint
-	 * @return the work
+	 * @return the load
 	 */
 	public synchronized Load total(String endpoint) {
 		Load sum = this.own.getOrDefault(endpoint, new Load(endpoint, 0, 0));
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * Work at an endpoint.
+	 * Load of an endpoint.
 	 *
 	 * @param endpoint id of the endpoint
 	 * @param requests number of requests
@@ -95,13 +95,13 @@
 	}
 
 	/**
-	 * Work of another VM.
+	 * Loads reported by another VM.
 	 *
 	 * @param loads its loads by endpoint
-	 * @param at time of arrival
+	 * @param receivedAt time of arrival in nanoseconds
 	 * @author banyanstile contributors
 	 */
-	private record Report(Map<String, Load> loads, long at) {
+	private record Report(Map<String, Load> loads, long receivedAt) {
 
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/EndpointPicker.java
+++ b/core/src/main/java/org/banyanstile/core/placement/EndpointPicker.java
@@ -12,9 +12,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Orders endpoints for a request. Several VMs choose at the same time by reports that are
- * some hundred milliseconds old, so a little chance keeps them from all choosing the same
- * endpoint.
+ * Orders endpoints for a request. Several VMs choose at the same time by load reports
+ * that are some hundred milliseconds old, so each score gets random noise that keeps the
+ * VMs from all choosing the same endpoint.
  *
  * @author banyanstile contributors
  */
@@ -27,20 +27,22 @@
 	static final double NOISE = 0.25;
 
 	/**
-	 * Typical time of a plain call in milliseconds, for endpoints without an answer yet.
+	 * Response time assumed for an endpoint of a plain service that has not responded
+	 * yet.
 	 */
-	static final double TYPICAL_MILLIS = 90;
+	static final double TYPICAL_RESPONSE_MILLIS = 90;
 
 	/**
-	 * Noise of the queues of prefill engines, about a third of a prompt.
+	 * Largest noise in the score of a prefill engine, about a third of a prompt.
 	 */
 	static final double PREFILL_NOISE_TOKENS = 1000;
 
 	/**
-	 * Queue in tokens that is accepted to keep a KV cache within a data centre, about
-	 * half a prompt. Reading them takes some 60 ms of an objective of 500 ms or more.
+	 * Longer queue that is accepted to keep the transfer of a KV cache within a data
+	 * centre, about half a prompt. Its prefill takes some 60 ms of an objective of 500 ms
+	 * or more.
 	 */
-	static final double FAR_TOKENS = 2000;
+	static final double REMOTE_PENALTY_TOKENS = 2000;
 
 	private final EndpointLoads loads;
 
@@ -56,7 +58,7 @@
 
 	/**
 	 * Creates a picker.
-	 * @param loads work at the endpoints
+	 * @param loads loads of the endpoints
 	 * @param health health of the endpoints
 	 * @param random source of random numbers
 	 * @return the picker
@@ -66,7 +68,7 @@
 	}
 
 	/**
-	 * Chooses the endpoint that is expected to answer first.
+	 * Chooses the endpoint that is expected to respond first.
 	 * @param candidates the endpoints of the service
 	 * @param tried ids that were tried before; chosen only if nothing else is left
 	 * @param now the current time in nanoseconds
@@ -92,15 +94,15 @@
 	}
 
 	private double expectedMillis(RegisteredEndpoint endpoint) {
-		double waiting = this.loads.total(endpoint.id()).requests() + 1.0;
-		double cost = this.health.cost(endpoint.id(), TYPICAL_MILLIS);
-		return cost * Math.max(1, waiting / Math.max(1, endpoint.capacity())) + 0.1 * cost * waiting;
+		double requests = this.loads.total(endpoint.id()).requests() + 1.0;
+		double cost = this.health.cost(endpoint.id(), TYPICAL_RESPONSE_MILLIS);
+		return cost * Math.max(1, requests / Math.max(1, endpoint.capacity())) + 0.1 * cost * requests;
 	}
 
 	/**
-	 * Chooses the prefill engine with the fewest tokens to read. One in the data centre
-	 * of the decode engine is preferred while the queues differ little, since the KV
-	 * cache of a prompt is by far the largest transfer of a request.
+	 * Chooses the prefill engine with the fewest queued tokens. An engine in the data
+	 * centre of the decode engine is preferred while the queues differ little, since the
+	 * KV cache of a prompt is by far the largest transfer of a request.
 	 * @param engines the prefill engines
 	 * @param tried ids that were tried before, which are left out
 	 * @param dataCentre data centre of the decode engine
@@ -112,8 +114,8 @@
 		RegisteredEndpoint best = null;
 		double lowest = Double.MAX_VALUE;
 		for (RegisteredEndpoint engine : engines) {
-			double score = tokens(engine) + this.random.nextDouble() * PREFILL_NOISE_TOKENS
-					+ (engine.dataCentre().equals(dataCentre) ? 0 : FAR_TOKENS);
+			double score = loadTokens(engine) + this.random.nextDouble() * PREFILL_NOISE_TOKENS
+					+ (engine.dataCentre().equals(dataCentre) ? 0 : REMOTE_PENALTY_TOKENS);
 			if (score < lowest && !tried.contains(engine.id()) && this.health.isUsable(engine.id(), now)) {
 				lowest = score;
 				best = engine;
@@ -135,7 +137,7 @@
 		Map<RegisteredEndpoint, Double> scores = new HashMap<>();
 		for (RegisteredEndpoint engine : engines) {
 			if (this.health.isUsable(engine.id(), now) && needed <= memoryTokens) {
-				scores.put(engine, tokens(engine) + this.random.nextDouble() * needed);
+				scores.put(engine, loadTokens(engine) + this.random.nextDouble() * needed);
 			}
 		}
 		List<RegisteredEndpoint> sorted = new ArrayList<>(scores.keySet());
@@ -143,7 +145,7 @@
 		return sorted;
 	}
 
-	private long tokens(RegisteredEndpoint engine) {
+	private long loadTokens(RegisteredEndpoint engine) {
 		return this.loads.total(engine.id()).tokens();
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/PhaseChanges.java
+++ b/core/src/main/java/org/banyanstile/core/placement/PhaseChanges.java
@@ -10,36 +10,36 @@
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
- * Engines that carry out an order to change their part, as all VMs learn it from the one
- * that gave the order. Until it is done such an engine still stands in the registry with
- * its old part, grants reservations and refuses requests. Answers the load in which parts
- * are changed while requests come. Safe for use by several threads.
+ * Engines that carry out a role-change order. All VMs learn of the change from the VM
+ * that sent the order. Until the change is complete, such an engine is still registered
+ * with its old role, grants reservations but refuses requests, so requests that arrive
+ * during the change must not be sent to it. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class PhaseChanges {
 
 	/**
-	 * A report with less time left is not taken over, so that two VMs do not keep an
-	 * ended change alive by telling each other of it. One round between VMs.
+	 * A report with less remaining time is ignored, so that two VMs do not keep a
+	 * completed change alive by reporting it to each other. One gossip round.
 	 */
 	static final long MIN_REPORTED_MILLIS = 250;
 
 	private final Map<String, Change> changes = new HashMap<>();
 
 	/**
-	 * Notes an accepted order.
+	 * Records an accepted order.
 	 * @param endpoint id of the engine
-	 * @param phase its new part
+	 * @param role its new role
 	 * @param until time in nanoseconds after which the order counts as lost
 	 */
-	public synchronized void begin(String endpoint, EndpointPhase phase, long until) {
-		this.changes.put(endpoint, new Change(phase, until));
+	public synchronized void begin(String endpoint, EndpointPhase role, long until) {
+		this.changes.put(endpoint, new Change(role, until));
 	}
 
 	/**
-	 * Takes over what another VM knows.
-	 * @param reports its changes
+	 * Adds the changes that another VM reports.
+	 * @param reports the changes that the VM knows
 	 * @param now the current time in nanoseconds
 	 */
 	public synchronized void report(List<Report> reports, long now) {
@@ -52,34 +52,34 @@
 	}
 
 	/**
-	 * Returns the changes that go on.
+	 * Returns the changes that are in progress.
 	 * @param now the current time in nanoseconds
-	 * @return the changes with the time that is left
+	 * @return the changes with their remaining time
 	 */
 	public synchronized List<Report> pending(long now) {
 		this.changes.values().removeIf((change) -> now - change.until() >= 0);
 		List<Report> all = new ArrayList<>();
 		this.changes.forEach((endpoint, change) -> all
-			.add(new Report(endpoint, change.phase(), TimeUnit.NANOSECONDS.toMillis(change.until() - now))));
+			.add(new Report(endpoint, change.role(), TimeUnit.NANOSECONDS.toMillis(change.until() - now))));
 		return all;
 	}
 
 	/**
-	 * Returns whether an engine is changing its part, so that it takes no work.
+	 * Returns whether an engine is changing its role, so that it takes no work.
 	 * @param engine the engine as it is registered
 	 * @param now the current time in nanoseconds
 	 * @return whether it is
 	 */
 	public synchronized boolean isChanging(RegisteredEndpoint engine, long now) {
 		Change change = this.changes.get(engine.id());
-		return change != null && now - change.until() < 0 && change.phase() != engine.phase();
+		return change != null && now - change.until() < 0 && change.role() != engine.phase();
 	}
 
 	/**
-	 * A change that goes on.
+	 * A change in progress, as reported to other VMs.
 	 *
 	 * @param endpoint id of the engine
-	 * @param phase its new part
+	 * @param phase its new role
 	 * @param leftMillis time in milliseconds after which the order counts as lost
 	 * @author banyanstile contributors
 	 */
@@ -88,13 +88,13 @@
 	}
 
 	/**
-	 * A change.
+	 * A change in progress.
 	 *
-	 * @param phase the new part
+	 * @param role the new role
 	 * @param until time in nanoseconds after which the order counts as lost
 	 * @author banyanstile contributors
 	 */
-	private record Change(EndpointPhase phase, long until) {
+	private record Change(EndpointPhase role, long until) {
 
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/RoleBalance.java
+++ b/core/src/main/java/org/banyanstile/core/placement/RoleBalance.java
@@ -11,34 +11,35 @@
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
- * Decides how many engines of a service read prompts and how many generate tokens.
- * Answers the load in which decode memory is short: engines that read prompts lend no
- * memory to generations, and reading takes far less of an engine's time than generating
- * takes of its memory. So few engines read prompts, and a decode engine reads a prompt
- * itself while these are busy, see {@link PromptReader}.
+ * Decides how many engines of a service are prefill engines and how many are decode
+ * engines. Decode memory is the scarce resource: the memory of prefill engines is not
+ * available to generations, and prefill takes far less of an engine's time than
+ * generation takes of its memory. So there are few prefill engines, and a decode engine
+ * prefills a prompt itself while they are busy, see {@link PromptReader}.
  *
  * @author banyanstile contributors
  */
 public final class RoleBalance {
 
 	/**
-	 * Share of engines that read prompts. With 100 ms to read a prompt and four seconds
-	 * in a memory that holds ten requests, reading takes a fifth of both; what an eighth
-	 * of the engines cannot read, the decode engines do.
+	 * Share of prefill engines. A prefill takes 100 ms, and a generation takes four
+	 * seconds in a memory that holds ten requests, so prefill makes up a fifth of the
+	 * total work. The decode engines prefill what an eighth of the engines cannot.
 	 */
 	static final double PREFILL_SHARE = 0.125;
 
 	/**
-	 * Orders in one round. An engine is out of service for some seconds while it changes,
-	 * so during the day only a part may change at once.
+	 * Largest number of role-change orders in one round. An engine is out of service for
+	 * some seconds while it changes, so during the day only a part of the engines may
+	 * change at once.
 	 */
-	static final int MAX_ORDERS = 4;
+	static final int MAX_ORDERS_PER_ROUND = 4;
 
 	private RoleBalance() {
 	}
 
 	/**
-	 * Returns the number of engines that should read prompts.
+	 * Returns the number of engines that should be prefill engines.
 	 * @param engines number of engines of the service
 	 * @return the number
 	 */
@@ -47,11 +48,12 @@
 	}
 
 	/**
-	 * Plans changes of parts.
+	 * Plans role changes.
 	 * @param engines engines of the service that take work
-	 * @param changing engines that carry out an earlier order, with their new part
-	 * @param load tokens that an engine works on, by id; the idlest changes first
-	 * @return new parts by engine, none if the parts fit
+	 * @param changing engines that carry out an earlier order, with their new role
+	 * @param load tokens that an engine processes, by id; the least loaded engine changes
+	 * first
+	 * @return the role changes, empty if the roles are balanced
 	 */
 	public static List<RoleChange> plan(List<RegisteredEndpoint> engines, Map<String, EndpointPhase> changing,
 			ToLongFunction<String> load) {
@@ -66,7 +68,7 @@
 			.filter((engine) -> engine.phase() == from && !changing.containsKey(engine.id()))
 			.toList());
 		List<RoleChange> changes = new ArrayList<>();
-		int wanted = Math.min(Math.abs(surplus), MAX_ORDERS);
+		int wanted = Math.min(Math.abs(surplus), MAX_ORDERS_PER_ROUND);
 		while (changes.size() < wanted && !candidates.isEmpty()) {
 			RegisteredEndpoint engine = next(candidates, load);
 			candidates.remove(engine);
@@ -75,8 +77,8 @@
 		return changes;
 	}
 
-	// The data centre with the most candidates goes first, so that both parts stay
-	// spread.
+	// The data centre with the most candidates comes first, so that the engines of both
+	// roles stay spread over the data centres.
 	private static RegisteredEndpoint next(List<RegisteredEndpoint> candidates, ToLongFunction<String> load) {
 		Map<String, Integer> counts = new HashMap<>();
 		candidates.forEach((engine) -> counts.merge(engine.dataCentre(), 1, Integer::sum));
@@ -88,10 +90,10 @@
 	}
 
 	/**
-	 * A change of part.
+	 * A role change.
 	 *
 	 * @param engine the engine
-	 * @param phase its new part
+	 * @param phase its new role
 	 * @author banyanstile contributors
 	 */
 	public record RoleChange(RegisteredEndpoint engine, EndpointPhase phase) {
--- a/core/src/main/java/org/banyanstile/core/placement/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Choice of endpoints, reservations and waiting order. No I/O, no clock.
+ * Selection of endpoints, admission order and role changes. No I/O, no clock.
  */
 @NullMarked
 package org.banyanstile.core.placement;
--- a/core/src/test/java/org/banyanstile/core/placement/AdmissionLoadTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/AdmissionLoadTests.java
@@ -13,8 +13,9 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Plays a burst that needs almost twice the decode memory there is, and checks what
- * callers get from {@link AdmissionLine} and from a line in order of arrival.
+ * Simulates a burst that needs almost twice the available decode memory, and compares the
+ * service that callers get from {@link AdmissionLine} with that of a queue in order of
+ * arrival.
  *
  * @author banyanstile contributors
  */
@@ -24,25 +25,25 @@
 
 	private static final int OBJECTIVE_MILLIS = 550;
 
-	private static final int PATIENCE_MILLIS = 2550;
+	private static final int QUEUE_TIMEOUT_MILLIS = 2550;
 
 	private static final int STEP_MILLIS = 10;
 
 	@Test
-	void moreCallersAreInTimeThanInOrderOfArrival() {
-		int line = 0;
-		int arrival = 0;
+	void moreRequestsAreOnTimeThanInOrderOfArrival() {
+		int byPriority = 0;
+		int byArrival = 0;
 		for (int seed = 0; seed < 20; seed++) {
-			line += inTime(play(seed, true));
-			arrival += inTime(play(seed, false));
+			byPriority += onTime(simulate(seed, true));
+			byArrival += onTime(simulate(seed, false));
 		}
-		assertThat(line, is(greaterThan(arrival)));
+		assertThat(byPriority, is(greaterThan(byArrival)));
 	}
 
 	@Test
 	void largestTenthIsServedAtLeastHalfAsOftenAsAll() {
 		for (int seed = 0; seed < 20; seed++) {
-			List<Job> jobs = play(seed, true);
+			List<Job> jobs = simulate(seed, true);
 			List<Job> largest = jobs.stream()
 				.sorted(Comparator.comparingLong((Job job) -> -job.tokens))
 				.limit(jobs.size() / 10)
@@ -51,47 +52,47 @@
 		}
 	}
 
-	private static int inTime(List<Job> jobs) {
+	private static int onTime(List<Job> jobs) {
 		return (int) jobs.stream()
-			.filter((job) -> job.began >= 0 && job.began - job.arrived <= OBJECTIVE_MILLIS)
+			.filter((job) -> job.startedAt >= 0 && job.startedAt - job.arrivedAt <= OBJECTIVE_MILLIS)
 			.count();
 	}
 
 	private static double served(List<Job> jobs) {
-		return jobs.stream().filter((job) -> job.began >= 0).count() / (double) jobs.size();
+		return jobs.stream().filter((job) -> job.startedAt >= 0).count() / (double) jobs.size();
 	}
 
-	private static List<Job> play(int seed, boolean bySize) {
+	private static List<Job> simulate(int seed, boolean bySize) {
 		Random random = new Random(seed);
-		AdmissionLine line = AdmissionLine.create(2);
+		AdmissionLine queue = AdmissionLine.create(2);
 		List<Job> jobs = new ArrayList<>();
 		List<Job> waiting = new ArrayList<>();
-		long used = 0;
+		long usedTokens = 0;
 		for (int now = 0; now < 20_000; now += STEP_MILLIS) {
 			boolean burst = now >= 5000 && now < 10_000;
 			if (random.nextInt(1000) < STEP_MILLIS * (burst ? 14 : 7)) {
 				Job job = new Job(now, random);
-				job.ticket = line.join(false, 1, bySize ? job.tokens : 0);
+				job.ticket = queue.join(false, 1, bySize ? job.tokens : 0);
 				jobs.add(job);
 				waiting.add(job);
 			}
 			for (Job job : jobs) {
-				if (job.began >= 0 && job.began + job.millis <= now && !job.ended) {
+				if (job.startedAt >= 0 && job.startedAt + job.durationMillis <= now && !job.ended) {
 					job.ended = true;
-					used -= job.tokens;
+					usedTokens -= job.tokens;
 				}
 			}
 			for (Job job : List.copyOf(waiting)) {
-				if (bySize && !job.ticket.late() && now - job.arrived > OBJECTIVE_MILLIS) {
-					job.ticket = line.fallBehind(job.ticket);
+				if (bySize && !job.ticket.late() && now - job.arrivedAt > OBJECTIVE_MILLIS) {
+					job.ticket = queue.fallBehind(job.ticket);
 				}
-				boolean fits = line.isTurn(job.ticket) && used + job.tokens <= MEMORY_TOKENS;
+				boolean fits = queue.isTurn(job.ticket) && usedTokens + job.tokens <= MEMORY_TOKENS;
 				if (fits) {
-					job.began = now;
-					used += job.tokens;
+					job.startedAt = now;
+					usedTokens += job.tokens;
 				}
-				if (fits || now - job.arrived > PATIENCE_MILLIS) {
-					line.leave(job.ticket);
+				if (fits || now - job.arrivedAt > QUEUE_TIMEOUT_MILLIS) {
+					queue.leave(job.ticket);
 					waiting.remove(job);
 				}
 			}
@@ -106,23 +107,23 @@
 	 */
 	private static final class Job {
 
-		private final int arrived;
+		private final int arrivedAt;
 
 		private final long tokens;
 
-		private final int millis;
+		private final int durationMillis;
 
 		private AdmissionLine.Ticket ticket;
 
-		private int began = -1;
+		private int startedAt = -1;
 
 		private boolean ended;
 
-		private Job(int arrived, Random random) {
-			this.arrived = arrived;
+		private Job(int arrivedAt, Random random) {
+			this.arrivedAt = arrivedAt;
 			int output = 100 + (int) (800 * -Math.log(1 - random.nextDouble() * 0.95));
 			this.tokens = 1500 + random.nextInt(3500) + output;
-			this.millis = 300 + output * 5;
+			this.durationMillis = 300 + output * 5;
 		}
 
 	}
--- a/core/src/test/java/org/banyanstile/core/placement/EndpointPickerTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/EndpointPickerTests.java
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void unreachableEndpointGetsNothingWhileAnotherIsThere() {
+	void unreachableEndpointGetsNothingWhileAnotherIsAvailable() {
 		this.health.unreachable("one", 0);
 		assertThat(chosen(this.one), is(0));
 	}
@@ -100,18 +100,18 @@
 
 	@Test
 	void prefillEngineInTheDataCentreOfTheDecodeEngineIsPreferred() {
-		RegisteredEndpoint far = endpoint("far", "dc2");
+		RegisteredEndpoint remote = endpoint("far", "dc2");
 		for (int i = 0; i < 100; i++) {
-			assertThat(this.picker.leastTokens(List.of(far, this.one), Set.of(), "dc1", 0), is(this.one));
+			assertThat(this.picker.leastTokens(List.of(remote, this.one), Set.of(), "dc1", 0), is(this.one));
 		}
 	}
 
 	@Test
-	void prefillEngineElsewhereIsChosenWhenTheNearOneHasAQueue() {
-		RegisteredEndpoint far = endpoint("far", "dc2");
+	void prefillEngineInAnotherDataCentreIsChosenWhenTheLocalOneHasAQueue() {
+		RegisteredEndpoint remote = endpoint("far", "dc2");
 		this.loads.report("vm2", List.of(new EndpointLoads.Load("one", 1, 4000)), 0);
 		for (int i = 0; i < 100; i++) {
-			assertThat(this.picker.leastTokens(List.of(far, this.one), Set.of(), "dc1", 0), is(far));
+			assertThat(this.picker.leastTokens(List.of(remote, this.one), Set.of(), "dc1", 0), is(remote));
 		}
 	}
 
--- a/core/src/test/java/org/banyanstile/core/placement/RoleBalanceTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/RoleBalanceTests.java
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void surplusOfPrefillEnginesGenerates() {
+	void surplusPrefillEnginesBecomeDecodeEngines() {
 		List<RoleBalance.RoleChange> plan = plan(engines(5, 8), Map.of());
 		assertThat(plan, hasSize(3));
 		assertThat(plan.get(0).phase(), is(EndpointPhase.DECODE));
@@ -50,12 +50,12 @@
 	}
 
 	@Test
-	void engineThatChangesCountsAsItsNewPart() {
+	void engineThatChangesCountsAsItsNewRole() {
 		assertThat(plan(engines(2, 4), Map.of("e0", EndpointPhase.DECODE)), is(empty()));
 	}
 
 	@Test
-	void fittingPartsAreLeftAlone() {
+	void balancedRolesAreNotChanged() {
 		for (int n = 2; n < 70; n++) {
 			int prefill = RoleBalance.prefillTarget(n);
 			assertThat(plan(engines(prefill, n - prefill), Map.of()), is(empty()));
@@ -64,18 +64,18 @@
 
 	@Test
 	void onlyAFewEnginesChangeAtOnce() {
-		assertThat(plan(engines(40, 20), Map.of()).size(), is(lessThanOrEqualTo(RoleBalance.MAX_ORDERS)));
+		assertThat(plan(engines(40, 20), Map.of()).size(), is(lessThanOrEqualTo(RoleBalance.MAX_ORDERS_PER_ROUND)));
 	}
 
 	@Test
-	void smallServiceHasOneEngineForPromptsAlsoWhenOneEngineLeaves() {
+	void smallServiceHasOnePrefillEngineAlsoWhenOneEngineLeaves() {
 		assertThat(plan(engines(1, 5), Map.of()), is(empty()));
 		assertThat(plan(engines(1, 4), Map.of()), is(empty()));
 		assertThat(plan(engines(0, 5), Map.of()), hasSize(1));
 	}
 
 	@Test
-	void singleEngineGenerates() {
+	void singleEngineIsADecodeEngine() {
 		assertThat(RoleBalance.prefillTarget(1), is(0));
 	}
 
--- a/core/src/test/java/org/banyanstile/core/placement/PhaseChangesTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/RoleChangesTests.java
@@ -16,18 +16,18 @@
  *
  * @author banyanstile contributors
  */
-class PhaseChangesTests {
+class RoleChangesTests {
 
 	private static final long SECOND = 1_000_000_000L;
 
 	private final PhaseChanges changes = new PhaseChanges();
 
-	private static RegisteredEndpoint engine(EndpointPhase phase) {
-		return new RegisteredEndpoint("e1", "llm", "10.0.0.1:80", "dc1", phase, true, 64, 0);
+	private static RegisteredEndpoint engine(EndpointPhase role) {
+		return new RegisteredEndpoint("e1", "llm", "10.0.0.1:80", "dc1", role, true, 64, 0);
 	}
 
 	@Test
-	void engineTakesNoWorkUntilItsRegisteredPartIsTheNewOne() {
+	void engineTakesNoWorkUntilItsRegisteredRoleIsTheNewOne() {
 		this.changes.begin("e1", EndpointPhase.PREFILL, 10 * SECOND);
 		assertThat(this.changes.isChanging(engine(EndpointPhase.DECODE), 6 * SECOND), is(true));
 		assertThat(this.changes.isChanging(engine(EndpointPhase.PREFILL), 6 * SECOND), is(false));
@@ -50,11 +50,11 @@
 	}
 
 	/**
-	 * Guards against a change that lives on because each VM learns it again from another
-	 * that learned it later.
+	 * Guards against a change that never expires because each VM learns it again from
+	 * another VM that learned it later.
 	 */
 	@Test
-	void changeEndsEverywhereAlthoughAllVmsTellEachOther() {
+	void changeEndsOnAllVmsAlthoughTheyReportItToEachOther() {
 		for (int seed = 0; seed < 200; seed++) {
 			Random random = new Random(seed);
 			List<PhaseChanges> vms = List.of(new PhaseChanges(), new PhaseChanges(), new PhaseChanges(),
@@ -62,9 +62,9 @@
 			vms.get(0).begin("e1", EndpointPhase.PREFILL, 5 * SECOND);
 			long now = 0;
 			while (now < 8 * SECOND) {
-				List<PhaseChanges.Report> told = vms.get(random.nextInt(4)).pending(now);
+				List<PhaseChanges.Report> reports = vms.get(random.nextInt(4)).pending(now);
 				now += random.nextInt(40_000_000);
-				vms.get(random.nextInt(4)).report(told, now);
+				vms.get(random.nextInt(4)).report(reports, now);
 			}
 			for (PhaseChanges vm : vms) {
 				assertThat("seed " + seed, vm.isChanging(engine(EndpointPhase.DECODE), now), is(false));
