--- a/core/src/main/java/org/banyanstile/core/limit/ColdRate.java
+++ b/core/src/main/java/org/banyanstile/core/limit/ColdRate.java
@@ -1,8 +1,8 @@
 package org.banyanstile.core.limit;
 
 /**
- * Share of one VM in what a cold endpoint can take: an equal part of its rate, and one
- * request at once. Not safe for use by several threads.
+ * Share of one VM in the request rate that a cold endpoint can take: an equal part of the
+ * rate, with a burst of one request. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -12,10 +12,10 @@
 
 	private double level = 1;
 
-	private long at;
+	private long refilledAt;
 
 	private ColdRate(long now) {
-		this.at = now;
+		this.refilledAt = now;
 	}
 
 	/**
@@ -32,11 +32,12 @@
 	 * @param perSecond rate of the endpoint over all VMs
 	 * @param vms number of VMs that share it
 	 * @param now the current time in nanoseconds
-	 * @return whether the endpoint may get the request
+	 * @return whether the request may be sent to the endpoint
 	 */
 	public boolean tryTake(double perSecond, int vms, long now) {
-		this.level = Math.min(1, this.level + Math.max(0, now - this.at) / NANOS * perSecond / Math.max(1, vms));
-		this.at = now;
+		this.level = Math.min(1,
+				this.level + Math.max(0, now - this.refilledAt) / NANOS * perSecond / Math.max(1, vms));
+		this.refilledAt = now;
 		if (this.level < 1) {
 			return false;
 		}
--- a/core/src/main/java/org/banyanstile/core/limit/Floor.java
+++ b/core/src/main/java/org/banyanstile/core/limit/Floor.java
@@ -1,8 +1,8 @@
 package org.banyanstile.core.limit;
 
 /**
- * Floor of one team at one VM: its share of rate and burst, used while the owner is
- * unreachable. Not safe for use by several threads.
+ * Floor of one team at one VM: the guaranteed share of rate and burst that the VM uses
+ * while the owner is unreachable. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/limit/FloorSchedule.java
+++ b/core/src/main/java/org/banyanstile/core/limit/FloorSchedule.java
@@ -1,8 +1,8 @@
 package org.banyanstile.core.limit;
 
 /**
- * Time from which a VM may use its floors of one partition. Not safe for use by several
- * threads.
+ * Time from which a VM may use its floors of one partition, after it acquired its slot
+ * and after its last promise not to use them. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/limit/GrantRequest.java
+++ b/core/src/main/java/org/banyanstile/core/limit/GrantRequest.java
@@ -10,20 +10,20 @@
  * @param team the team
  * @param needed the tokens without which the waiting request cannot run
  * @param wanted the tokens that the VM expects to use soon, at least {@code needed}
- * @param returned the granted tokens that the VM will not use any more
+ * @param returned the granted tokens that the VM will no longer use
  * @param returnedSince the earliest {@link GrantReply#issuedNanos()} among the returned
  * tokens
  * @param returnedTo the {@link GrantReply#ownerToken()} of the owner that issued them
  * @param spent the {@link GrantReply#issuedNanos()} of grants of the same owner that are
- * spent, at most {@link #MAX_SPENT}
+ * used up, at most {@link #MAX_SPENT}
  * @author banyanstile contributors
  */
 public record GrantRequest(TeamId team, long needed, long wanted, long returned, long returnedSince, long returnedTo,
 		List<Long> spent) {
 
 	/**
-	 * Number of spent grants that a request reports. Grants that are not reported count
-	 * as spendable until they expire.
+	 * Largest number of spent grants that a request reports. The owner counts a grant
+	 * that is not reported as spendable until it expires.
 	 */
 	public static final int MAX_SPENT = 16;
 
--- a/core/src/main/java/org/banyanstile/core/limit/HeadroomHistory.java
+++ b/core/src/main/java/org/banyanstile/core/limit/HeadroomHistory.java
@@ -4,9 +4,9 @@
 
 /**
  * Lowest headroom of a bucket in each of the last intervals. Returned tokens are credited
- * only as far as the bucket had room for them ever since they were granted: a credit
- * beyond that would let a window of time see more than burst plus refill. Not safe for
- * use by several threads.
+ * only as far as the bucket had room for them during the whole time since they were
+ * granted: a larger credit would allow more than burst plus refill in some window of
+ * time. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -38,19 +38,19 @@
 	}
 
 	void record(double headroom, long now) {
-		float low = Math.nextDown((float) headroom);
+		float roundedDown = Math.nextDown((float) headroom);
 		long current = interval(now);
 		if (current - this.lastInterval >= INTERVALS) {
-			Arrays.fill(this.lowest, low);
+			Arrays.fill(this.lowest, roundedDown);
 		}
 		else {
 			for (long i = this.lastInterval + 1; i <= current; i++) {
-				this.lowest[index(i)] = low;
+				this.lowest[index(i)] = roundedDown;
 			}
-			int last = index(Math.min(this.lastInterval, current));
-			this.lowest[last] = Math.min(this.lowest[last], low);
-			int now0 = index(current);
-			this.lowest[now0] = Math.min(this.lowest[now0], low);
+			int lastIndex = index(Math.min(this.lastInterval, current));
+			this.lowest[lastIndex] = Math.min(this.lowest[lastIndex], roundedDown);
+			int currentIndex = index(current);
+			this.lowest[currentIndex] = Math.min(this.lowest[currentIndex], roundedDown);
 		}
 		this.lastInterval = Math.max(this.lastInterval, current);
 	}
--- a/core/src/main/java/org/banyanstile/core/limit/LimitTimes.java
+++ b/core/src/main/java/org/banyanstile/core/limit/LimitTimes.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times of the protocol between the owner of a team bucket and the holders of VM slots.
+ * Times of the protocol between the owner of a team bucket and the VMs that hold slots.
  *
  * @author banyanstile contributors
  */
 public final class LimitTimes {
 
 	/**
-	 * Time for which a heartbeat promises that the sender's floors are not used.
+	 * Time for which a heartbeat promises that the sender does not use its floors.
 	 */
 	public static final long PROMISE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
@@ -20,14 +20,14 @@
 	public static final long GRANT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
 	/**
-	 * Allowance for the different speeds of two monotonic clocks.
+	 * Allowance for the drift between two monotonic clocks.
 	 */
 	public static final long MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
 	/**
 	 * Time from the last promise to the first use of a floor. The owner counts the share
-	 * as its own until the promise ends, and what it granted until then stays valid for
-	 * one more grant validity.
+	 * as its own until the promise expires, and tokens that it granted until then stay
+	 * valid for one more grant validity.
 	 */
 	public static final long FLOOR_DELAY_NANOS = PROMISE_NANOS + GRANT_NANOS + MARGIN_NANOS;
 
@@ -48,9 +48,9 @@
 	public static final long TAKEOVER_NANOS = TimeUnit.SECONDS.toNanos(16);
 
 	/**
-	 * Retry time of a refusal while the ownership of a bucket is not settled. It settles
-	 * after 0 to 16 s; callers that were told the longest time waited 16 s for an owner
-	 * that was there much sooner.
+	 * Retry time of a refusal while the ownership of a bucket is not established. It is
+	 * established after 0 to 16 s; with the longest time as the retry time, callers
+	 * waited 16 s for an owner that was available much sooner.
 	 */
 	public static final long SHORT_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
--- a/core/src/main/java/org/banyanstile/core/limit/ReserveResult.java
+++ b/core/src/main/java/org/banyanstile/core/limit/ReserveResult.java
@@ -16,7 +16,7 @@
 	}
 
 	/**
-	 * The owner must be asked first.
+	 * The owner must be asked for a grant first.
 	 *
 	 * @param partition the partition of the team
 	 * @param request the request to its owner
--- a/core/src/main/java/org/banyanstile/core/limit/RetryShare.java
+++ b/core/src/main/java/org/banyanstile/core/limit/RetryShare.java
@@ -3,10 +3,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Share of one VM in the retry budget of a service. Repeats are bounded by a part of this
- * VM's own requests and an equal part of the fixed extra, so that the sum over all VMs
- * stays in the budget without any coordination, also across partitions. Not safe for use
- * by several threads.
+ * Share of one VM in the retry budget of a service. Retries are bounded by a fraction of
+ * this VM's own requests and an equal part of the fixed extra, so that the sum over all
+ * VMs stays within the budget without any coordination, also during a network partition.
+ * Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -14,15 +14,15 @@
 
 	/**
 	 * Part of the budget that is used. The rest covers requests that are counted in
-	 * another window than their repeats.
+	 * another window than their retries.
 	 */
-	static final double USED = 0.7;
+	static final double USED_PART = 0.7;
 
 	private final long windowNanos;
 
 	private final ArrayDeque<Long> requests = new ArrayDeque<>();
 
-	private final ArrayDeque<Long> repeats = new ArrayDeque<>();
+	private final ArrayDeque<Long> retries = new ArrayDeque<>();
 
 	private RetryShare(long windowNanos) {
 		this.windowNanos = windowNanos;
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Notes a request.
+	 * Records a request.
 	 * @param now the current time in nanoseconds
 	 */
 	public void request(long now) {
@@ -47,26 +47,26 @@
 	}
 
 	/**
-	 * Takes a repeat.
-	 * @param ratio repeats that are allowed for each request
-	 * @param extra repeats of all VMs that are allowed besides
+	 * Takes a retry from the share.
+	 * @param ratio retries that are allowed for each request
+	 * @param extra additional retries that are allowed for all VMs together
 	 * @param vms number of VMs that share the extra
 	 * @param now the current time in nanoseconds
-	 * @return whether the repeat is allowed
+	 * @return whether the retry is allowed
 	 */
 	public boolean tryRepeat(double ratio, double extra, int vms, long now) {
 		trim(now);
-		double allowed = USED * (ratio * this.requests.size() + extra / Math.max(1, vms));
-		if (this.repeats.size() + 1 > allowed) {
+		double allowed = USED_PART * (ratio * this.requests.size() + extra / Math.max(1, vms));
+		if (this.retries.size() + 1 > allowed) {
 			return false;
 		}
-		this.repeats.addLast(now);
+		this.retries.addLast(now);
 		return true;
 	}
 
 	private void trim(long now) {
 		trim(this.requests, now);
-		trim(this.repeats, now);
+		trim(this.retries, now);
 	}
 
 	private void trim(ArrayDeque<Long> times, long now) {
--- a/core/src/main/java/org/banyanstile/core/limit/SharedQuota.java
+++ b/core/src/main/java/org/banyanstile/core/limit/SharedQuota.java
@@ -5,35 +5,35 @@
 import java.util.Set;
 
 /**
- * Token limit of one team over all VMs without an owner. Each VM keeps the bucket of the
- * whole fleet: it takes off its own use at once and the use of other VMs as they report
- * it. A VM that does not report is assumed to use an equal share of the rate, which is
- * also what it can use for long if it hears nobody, so the sum stays bounded across a
- * partition. Not safe for use by several threads.
+ * Token limit of one team over all VMs without an owner. Each VM keeps a copy of the
+ * bucket of the whole fleet: it subtracts its own use at once and the use of other VMs
+ * when they report it. A VM that does not report is assumed to use an equal share of the
+ * rate. This is also what that VM can use in the long run if it receives no reports, so
+ * the sum stays bounded during a network partition. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class SharedQuota {
 
 	/**
-	 * Time without a report after which use is assumed in a fleet whose VMs hear each
-	 * other at least this often. Four rounds of 250 ms between VMs.
+	 * Time without a report after which use is assumed, in a fleet small enough that
+	 * every VM reports at least this often. Four gossip rounds of 250 ms.
 	 */
-	static final long SILENT_NANOS = 1_000_000_000L;
+	static final long MIN_REPORT_TIMEOUT_NANOS = 1_000_000_000L;
 
 	/**
-	 * Time without a report for each VM of a larger fleet: eight VMs report in a round of
-	 * 250 ms, and a tenth more.
+	 * Time without a report that is allowed for each VM of a larger fleet: eight VMs
+	 * report in a gossip round of 250 ms, plus a tenth.
 	 */
-	static final long SILENT_NANOS_PER_VM = 34_375_000L;
+	static final long REPORT_TIMEOUT_NANOS_PER_VM = 34_375_000L;
 
 	/**
-	 * Largest part of the bucket that a small request takes.
+	 * Largest size of a small request, as a part of the bucket.
 	 */
 	static final double SMALL_PART = 0.02;
 
 	/**
-	 * Part of the bucket that small requests may take in advance.
+	 * Part of the bucket by which small requests may overdraw it.
 	 */
 	static final double OVERDRAFT = 0.25;
 
@@ -47,7 +47,7 @@
 
 	private double level;
 
-	private long at;
+	private long refilledAt;
 
 	private long used;
 
@@ -57,13 +57,13 @@
 		this.rate = rate;
 		this.burst = burst;
 		this.capacity = burst;
-		this.at = now;
+		this.refilledAt = now;
 	}
 
 	/**
-	 * Creates an empty bucket, since a VM that starts does not know what was used just
-	 * before.
-	 * @param rate tokens a second of all VMs
+	 * Creates an empty bucket, since a VM that starts does not know how many tokens were
+	 * used just before.
+	 * @param rate tokens per second of all VMs
 	 * @param burst capacity of the bucket in tokens
 	 * @param now the current time in nanoseconds
 	 * @return the quota
@@ -74,7 +74,7 @@
 
 	/**
 	 * Changes the limit.
-	 * @param newRate tokens a second of all VMs
+	 * @param newRate tokens per second of all VMs
 	 * @param newBurst capacity of the bucket in tokens
 	 * @param now the current time in nanoseconds
 	 */
@@ -104,7 +104,8 @@
 		return 0;
 	}
 
-	// One large request must not shut out many small ones for the time of its refill.
+	// Small requests must not be refused for as long as the refill after a large one
+	// takes.
 	private double overdraft(long tokens) {
 		return (tokens <= SMALL_PART * this.burst) ? OVERDRAFT * this.burst : 0;
 	}
@@ -127,8 +128,9 @@
 	}
 
 	/**
-	 * Sets the other VMs of the fleet. One that has not reported yet counts as silent, so
-	 * a VM that starts behind a cut holds back the shares of those on the other side.
+	 * Sets the other VMs of the fleet. A VM that has not reported yet counts as silent,
+	 * so a VM that starts during a network partition leaves the shares of the unreachable
+	 * VMs unused.
 	 * @param vms names of the other VMs
 	 * @param now the current time in nanoseconds
 	 */
@@ -136,12 +138,12 @@
 		refill(now);
 		this.peers.keySet().retainAll(vms);
 		for (String vm : vms) {
-			this.peers.computeIfAbsent(vm, (name) -> Peer.unheard(now - silentNanos(vms.size())));
+			this.peers.computeIfAbsent(vm, (name) -> Peer.notReported(now - silentNanos(vms.size())));
 		}
 	}
 
 	/**
-	 * Takes the use of another VM into account.
+	 * Subtracts the use that another VM reports.
 	 * @param vm the VM
 	 * @param incarnation its incarnation
 	 * @param total tokens that it has used since its start
@@ -157,7 +159,7 @@
 		this.level = Math.min(this.burst, this.level - (total - peer.reported) + peer.assumed);
 		peer.reported = total;
 		peer.assumed = 0;
-		peer.heard = now;
+		peer.reportedAt = now;
 	}
 
 	/**
@@ -166,60 +168,61 @@
 	 * @return the time in nanoseconds
 	 */
 	public static long silentNanos(int peers) {
-		return Math.max(SILENT_NANOS, SILENT_NANOS_PER_VM * ((peers + 7) / 8 * 8));
+		return Math.max(MIN_REPORT_TIMEOUT_NANOS, REPORT_TIMEOUT_NANOS_PER_VM * ((peers + 7) / 8 * 8));
 	}
 
 	private void refill(long now) {
-		long silence = silentNanos(this.peers.size());
-		double seconds = Math.max(0, now - this.at) / NANOS;
+		long timeout = silentNanos(this.peers.size());
+		double seconds = Math.max(0, now - this.refilledAt) / NANOS;
 		double share = this.rate / (this.peers.size() + 1);
 		int silentPeers = 0;
 		for (Peer peer : this.peers.values()) {
-			silentPeers += (now - peer.heard > silence) ? 1 : 0;
-			long silentSince = peer.heard + silence;
+			silentPeers += (now - peer.reportedAt > timeout) ? 1 : 0;
+			long silentSince = peer.reportedAt + timeout;
 			double silent = Math.min(Math.max(0, now - silentSince) / NANOS, seconds);
 			peer.assumed += silent * share;
 			this.level -= silent * share;
 		}
-		// Each side of a partition keeps its part of the bucket, so that the sides do not
-		// spend it twice.
+		// Each side of a network partition uses only its part of the bucket, so that the
+		// sides do not spend the same tokens twice.
 		this.capacity = this.burst * (this.peers.size() + 1 - silentPeers) / (this.peers.size() + 1);
 		this.level = Math.min(this.capacity, this.level + seconds * this.rate);
-		this.at = Math.max(this.at, now);
+		this.refilledAt = Math.max(this.refilledAt, now);
 	}
 
 	/**
-	 * What is known of another VM.
+	 * Reported and assumed use of another VM.
 	 *
 	 * @author banyanstile contributors
 	 */
 	private static final class Peer {
 
 		/**
-		 * Incarnation of a VM that has not reported; times of day are positive.
+		 * Incarnation of a VM that has not reported. Real incarnations are times of day
+		 * and positive.
 		 */
-		private static final long UNHEARD = -1;
+		private static final long NOT_REPORTED = -1;
 
 		private final long incarnation;
 
 		private long reported;
 
-		private long heard;
+		private long reportedAt;
 
 		private double assumed;
 
-		private Peer(long incarnation, long reported, long heard) {
+		private Peer(long incarnation, long reported, long reportedAt) {
 			this.incarnation = incarnation;
 			this.reported = reported;
-			this.heard = heard;
+			this.reportedAt = reportedAt;
 		}
 
 		private static Peer of(long incarnation, long reported) {
 			return new Peer(incarnation, reported, 0);
 		}
 
-		private static Peer unheard(long heard) {
-			return new Peer(UNHEARD, 0, heard);
+		private static Peer notReported(long reportedAt) {
+			return new Peer(NOT_REPORTED, 0, reportedAt);
 		}
 
 	}
--- a/core/src/main/java/org/banyanstile/core/limit/TeamBucket.java
+++ b/core/src/main/java/org/banyanstile/core/limit/TeamBucket.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Bucket of one team at its owner. At any time level + outstanding grants + the burst of
+ * Bucket of one team at its owner. Invariant: level + outstanding grants + the burst of
  * the shares that are not the owner's is at most the burst. Not safe for use by several
  * threads.
  *
@@ -18,20 +18,20 @@
 final class TeamBucket {
 
 	/**
-	 * Part of the remaining level that a VM may take in advance, so that the tokens of a
-	 * team are not stranded at one VM.
+	 * Divisor of the remaining level that gives the tokens a VM may take in advance, so
+	 * that one VM does not hold most of a team's tokens unused.
 	 */
 	private static final int ADVANCE_DIVISOR = 4;
 
 	private final Map<Long, Long> grants = new LinkedHashMap<>();
 
 	/**
-	 * Headroom of the last 8 s, for returns of short requests.
+	 * Headroom of the last 8 s, for tokens returned by short requests.
 	 */
 	private final HeadroomHistory recent;
 
 	/**
-	 * Headroom of the last 256 s, longer than the longest answer takes.
+	 * Headroom of the last 256 s, longer than the longest response takes.
 	 */
 	private final HeadroomHistory old;
 
@@ -63,18 +63,16 @@
 	}
 
 	void refill(long now, double ownFraction) {
-		// Refills up to a time. Grants end in order of time, each with a refill before
-		// it:
-		// one refill after all of them would credit time during which the bucket was
-		// full.
+		// Grants expire in order of time, with a refill before each: a single refill
+		// after all of them would credit time during which the bucket was full.
 		Iterator<Map.Entry<Long, Long>> oldest = this.grants.entrySet().iterator();
 		while (oldest.hasNext()) {
 			Map.Entry<Long, Long> grant = oldest.next();
-			long endsAt = grant.getKey() + LimitTimes.GRANT_NANOS;
-			if (endsAt > now) {
+			long expiresAt = grant.getKey() + LimitTimes.GRANT_NANOS;
+			if (expiresAt > now) {
 				break;
 			}
-			step(endsAt, ownFraction);
+			step(expiresAt, ownFraction);
 			this.outstanding -= grant.getValue();
 			oldest.remove();
 		}
@@ -97,7 +95,7 @@
 	 * @param needed the tokens needed
 	 * @param wanted the tokens wanted
 	 * @param issued the time of issue, different for each grant
-	 * @return the granted tokens, 0 if the needed ones are not there
+	 * @return the granted tokens, 0 if the needed ones are not available
 	 */
 	long grant(long needed, long wanted, long issued) {
 		long available = (long) Math.floor(this.level);
--- a/core/src/main/java/org/banyanstile/core/limit/TeamBucketOwner.java
+++ b/core/src/main/java/org/banyanstile/core/limit/TeamBucketOwner.java
@@ -18,7 +18,7 @@
 
 	private final Map<TeamId, TeamBucket> buckets = new HashMap<>();
 
-	private final ShareLedger shares;
+	private final OwnedShares shares;
 
 	private final long ownerToken;
 
@@ -29,14 +29,14 @@
 	private long lastIssued = Long.MIN_VALUE;
 
 	private TeamBucketOwner(int slots, long ownerToken, long startsAt) {
-		this.shares = new ShareLedger(slots);
+		this.shares = new OwnedShares(slots);
 		this.ownerToken = ownerToken;
 		this.startsAt = startsAt;
 	}
 
 	/**
-	 * Creates the buckets of a partition at the time of its takeover. All levels are 0
-	 * until the last possible grant of the previous owner has expired.
+	 * Creates the buckets of a partition when it is taken over. All levels are 0 until
+	 * the last possible grant of the previous owner has expired.
 	 * @param slots the number of VM slots
 	 * @param ownerToken the fencing token of the partition
 	 * @param now the current time in nanoseconds
@@ -72,8 +72,8 @@
 	/**
 	 * Records the promise of a slot holder not to use its floors of this partition.
 	 * @param slot the slot of the sender
-	 * @param sentNotBefore a time on this VM's clock which is not after the sending of
-	 * the promise, for example the own time stamp that the heartbeat echoes; the time of
+	 * @param sentNotBefore a time on this VM's clock that is not after the promise was
+	 * sent, for example the time stamp of this VM that the heartbeat echoes; the time of
 	 * receipt is not safe, since a paused owner reads old heartbeats late
 	 * @param now the current time in nanoseconds
 	 */
@@ -88,7 +88,7 @@
 	/**
 	 * Records which slots nobody holds.
 	 * @param slots the unheld slots
-	 * @param scanStartedAt the time before the scan of the slot rows was sent
+	 * @param scanStartedAt a time before the scan of the slot rows was sent
 	 * @param now the current time in nanoseconds
 	 */
 	public void unheld(BitSet slots, long scanStartedAt, long now) {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * Answers a grant request.
+	 * Responds to a grant request.
 	 * @param request the request
 	 * @param now the current time in nanoseconds
 	 * @return the reply; an unknown team gets no tokens
@@ -154,11 +154,9 @@
 	}
 
 	private void advance(long now) {
-		// Refills all buckets when the number of shares changes, with the lower number
-		// for
-		// the time since the last change: a bucket that is refilled later would credit
-		// time
-		// in which the floor of a share was in use.
+		// Refills all buckets when the number of shares changes, with the lower of both
+		// numbers for the time since the last refill: a bucket that is refilled later
+		// would credit time in which the floor of a share was in use.
 		int current = this.shares.own(now);
 		if (current == this.own) {
 			return;
--- a/core/src/main/java/org/banyanstile/core/limit/TeamLimits.java
+++ b/core/src/main/java/org/banyanstile/core/limit/TeamLimits.java
@@ -10,22 +10,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Limits of all teams at one VM: grants of the owners, and floors while an owner is
- * unreachable. Safe for use by several threads.
+ * Limits of all teams at one VM. Tokens come from grants of the owners, and from floors
+ * while an owner is unreachable. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
 public final class TeamLimits {
 
 	/**
-	 * Period over which the demand of a team is measured. A VM asks in advance for what
-	 * it used in the last period, which is well below the validity of a grant.
+	 * Period over which the demand of a team is measured. A VM requests in advance the
+	 * tokens that it used in the last period. The period is well below the validity of a
+	 * grant.
 	 */
 	private static final long DEMAND_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
 	/**
-	 * Part of the burst from which returned tokens are sent without waiting for the next
-	 * grant request. A team that uses many VMs rarely would otherwise miss them.
+	 * Divisor of the burst that gives the number of returned tokens which are sent
+	 * without waiting for the next grant request. Otherwise a team that uses many VMs
+	 * rarely would lack these tokens.
 	 */
 	private static final int RETURN_DIVISOR = 100;
 
@@ -90,7 +92,7 @@
 	}
 
 	/**
-	 * Records that the VM lost its slot, after which it has no floors.
+	 * Records that the VM lost its slot. It has no floors without one.
 	 */
 	public void slotLost() {
 		synchronized (this.lock) {
@@ -101,8 +103,8 @@
 	}
 
 	/**
-	 * Suspends the floors of a partition. Must return before the heartbeat that carries
-	 * the promise is sent, also for a partition that the VM itself owns.
+	 * Suspends the floors of a partition. Must return before the heartbeat with the
+	 * promise is sent, also for a partition that the VM itself owns.
 	 * @param partition the partition that the receiver owns
 	 * @param now the current time in nanoseconds
 	 */
@@ -113,8 +115,8 @@
 	}
 
 	/**
-	 * Reserves tokens from grants and floor, or says what to ask of the owner. Call it
-	 * again after a grant was received: another request may have used the tokens.
+	 * Reserves tokens from grants and floor, or returns the request to send to the owner.
+	 * Call it again after a grant was received: another request may have used the tokens.
 	 * @param team the team
 	 * @param cost prompt tokens and maximum output tokens
 	 * @param now the current time in nanoseconds
@@ -129,7 +131,7 @@
 			}
 			long needed = cost - available(state, now);
 			long wanted = Math.max(needed, needed + state.demand.expected(now) - cost);
-			return new ReserveResult.GrantNeeded(state.partition, state.wallet.request(team, needed, wanted));
+			return new ReserveResult.GrantNeeded(state.partition, state.unspent.request(team, needed, wanted));
 		}
 	}
 
@@ -167,21 +169,21 @@
 	 * Adds the tokens of a grant reply.
 	 * @param team the team
 	 * @param reply the reply
-	 * @param sentAt the time before the request was sent
+	 * @param sentAt a time before the request was sent
 	 * @param now the current time in nanoseconds
 	 */
 	public void grantReceived(TeamId team, GrantReply reply, long sentAt, long now) {
 		synchronized (this.lock) {
 			TeamState state = this.teams.get(team);
 			if (state != null && reply.tokens() > 0) {
-				state.wallet.add(reply, sentAt, now);
+				state.unspent.add(reply, sentAt, now);
 			}
 		}
 	}
 
 	/**
-	 * Settles a reservation. Unused granted tokens go back with the next grant request;
-	 * those of a floor count as used.
+	 * Settles a reservation. Unused granted tokens are returned with the next grant
+	 * request; unused tokens of a floor count as used.
 	 * @param reservation the reservation
 	 * @param used the tokens used, prompt and output
 	 */
@@ -190,23 +192,24 @@
 			TeamState state = this.teams.get(reservation.team());
 			if (state != null) {
 				long unused = Math.min(reservation.granted(), reservation.tokens() - used);
-				state.wallet.giveBack(unused, reservation.since(), reservation.ownerToken());
+				state.unspent.giveBack(unused, reservation.since(), reservation.ownerToken());
 			}
 		}
 	}
 
 	/**
-	 * Collects returned tokens that are worth a message of their own. Called each second.
+	 * Creates the requests for returned tokens that are worth a separate message. Called
+	 * each second.
 	 * @param now the current time in nanoseconds
-	 * @return requests that need no tokens, one a team
+	 * @return requests that need no tokens, at most one for each team
 	 */
 	public List<ReserveResult.GrantNeeded> returns(long now) {
 		synchronized (this.lock) {
 			List<ReserveResult.GrantNeeded> requests = new ArrayList<>();
 			this.teams.forEach((team, state) -> {
 				available(state, now);
-				if (state.wallet.returned() * RETURN_DIVISOR >= state.limit.burstTokens()) {
-					requests.add(new ReserveResult.GrantNeeded(state.partition, state.wallet.request(team, 0, 0)));
+				if (state.unspent.returned() * RETURN_DIVISOR >= state.limit.burstTokens()) {
+					requests.add(new ReserveResult.GrantNeeded(state.partition, state.unspent.request(team, 0, 0)));
 				}
 			});
 			return requests;
@@ -227,7 +230,7 @@
 
 	private long available(TeamState state, long now) {
 		state.floor.refill(state.limit, this.slots, this.floors[state.partition], now);
-		return state.wallet.available(now) + state.floor.available();
+		return state.unspent.available(now) + state.floor.available();
 	}
 
 	private @Nullable ReserveResult tryReserve(TeamId team, @Nullable TeamState state, long cost, long now) {
@@ -238,8 +241,8 @@
 			return null;
 		}
 		state.demand.used(cost, now);
-		long granted = Math.min(cost, state.wallet.available(now));
-		GrantWallet.Taken taken = state.wallet.take(granted);
+		long granted = Math.min(cost, state.unspent.available(now));
+		UnspentGrants.Taken taken = state.unspent.take(granted);
 		state.floor.take(cost - granted);
 		return new ReserveResult.Reserved(
 				new Reservation(team, cost, taken.returnable(), taken.since(), taken.owner()));
@@ -247,7 +250,7 @@
 
 	private static final class TeamState {
 
-		private final GrantWallet wallet = new GrantWallet();
+		private final UnspentGrants unspent = new UnspentGrants();
 
 		private final Floor floor = new Floor();
 
--- a/core/src/main/java/org/banyanstile/core/limit/GrantWallet.java
+++ b/core/src/main/java/org/banyanstile/core/limit/UnspentGrants.java
@@ -7,12 +7,12 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Unspent grants of one team at one VM, and the tokens to return. Not safe for use by
- * several threads.
+ * Unspent grants of one team at one VM, and the tokens to return to the owner. Not safe
+ * for use by several threads.
  *
  * @author banyanstile contributors
  */
-final class GrantWallet {
+final class UnspentGrants {
 
 	private final Deque<Grant> grants = new ArrayDeque<>();
 
@@ -27,18 +27,18 @@
 	private long owner;
 
 	void add(GrantReply reply, long sentAt, long now) {
-		long endsAt = sentAt + reply.validNanos();
-		if (endsAt <= now) {
+		long expiresAt = sentAt + reply.validNanos();
+		if (expiresAt <= now) {
 			giveBack(reply.tokens(), reply.issuedNanos(), reply.ownerToken());
 			return;
 		}
-		this.grants.add(new Grant(reply.tokens(), endsAt, reply.issuedNanos(), reply.ownerToken()));
+		this.grants.add(new Grant(reply.tokens(), expiresAt, reply.issuedNanos(), reply.ownerToken()));
 		this.available += reply.tokens();
 	}
 
 	long available(long now) {
 		this.grants.removeIf((grant) -> {
-			if (grant.endsAt > now) {
+			if (grant.expiresAt > now) {
 				return false;
 			}
 			this.available -= grant.tokens;
@@ -50,18 +50,18 @@
 
 	Taken take(long tokens) {
 		// Takes tokens from the oldest grants, which must cover them.
-		long rest = tokens;
+		long remaining = tokens;
 		long since = Long.MAX_VALUE;
 		long owner = 0;
 		long returnable = 0;
-		while (rest > 0) {
+		while (remaining > 0) {
 			Grant grant = this.grants.element();
-			long part = Math.min(rest, grant.tokens);
-			grant.tokens -= part;
-			rest -= part;
-			boolean same = owner == grant.ownerToken;
-			since = same ? Math.min(since, grant.issuedNanos) : grant.issuedNanos;
-			returnable = same ? returnable + part : part;
+			long taken = Math.min(remaining, grant.tokens);
+			grant.tokens -= taken;
+			remaining -= taken;
+			boolean sameOwner = owner == grant.ownerToken;
+			since = sameOwner ? Math.min(since, grant.issuedNanos) : grant.issuedNanos;
+			returnable = sameOwner ? returnable + taken : taken;
 			owner = grant.ownerToken;
 			if (grant.tokens == 0) {
 				this.grants.remove();
@@ -92,9 +92,8 @@
 	}
 
 	void giveBack(long tokens, long since, long issuer) {
-		// Collects tokens for the owner. Those of a previous owner are dropped, since the
-		// new
-		// one cannot tell whether its bucket had room for them.
+		// Collects tokens to return. Tokens of a previous owner are dropped, since the
+		// new owner cannot tell whether its bucket had room for them.
 		if (tokens <= 0 || issuer < this.owner) {
 			return;
 		}
@@ -120,7 +119,7 @@
 	 *
 	 * @param returnable the tokens that the newest owner issued
 	 * @param since the earliest time of issue
-	 * @param owner the owner's token
+	 * @param owner the fencing token of that owner
 	 */
 	record Taken(long returnable, long since, long owner) {
 	}
@@ -129,15 +128,15 @@
 
 		private long tokens;
 
-		private final long endsAt;
+		private final long expiresAt;
 
 		private final long issuedNanos;
 
 		private final long ownerToken;
 
-		private Grant(long tokens, long endsAt, long issuedNanos, long ownerToken) {
+		private Grant(long tokens, long expiresAt, long issuedNanos, long ownerToken) {
 			this.tokens = tokens;
-			this.endsAt = endsAt;
+			this.expiresAt = expiresAt;
 			this.issuedNanos = issuedNanos;
 			this.ownerToken = ownerToken;
 		}
--- a/core/src/test/java/org/banyanstile/core/limit/ColdRateTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/ColdRateTests.java
@@ -16,7 +16,7 @@
 	private static final long MILLI = 1_000_000;
 
 	@Test
-	void sumOverVmsStaysInWhatAColdEndpointTakes() {
+	void sumOverVmsStaysWithinTheRateOfAColdEndpoint() {
 		int vms = 8;
 		ColdRate[] rates = new ColdRate[vms];
 		for (int i = 0; i < vms; i++) {
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void clockThatStandsStillGivesNothing() {
+	void noRequestIsAllowedWhileTheClockDoesNotAdvance() {
 		ColdRate rate = ColdRate.create(0);
 		assertThat(rate.tryTake(20, 8, 0), is(true));
 		assertThat(rate.tryTake(20, 8, 0), is(false));
--- a/core/src/test/java/org/banyanstile/core/limit/FleetSimulation.java
+++ b/core/src/test/java/org/banyanstile/core/limit/FleetSimulation.java
@@ -13,8 +13,8 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Several VMs and the owner of one team bucket in virtual time, with lost and delayed
- * messages, frozen VMs and changes of the owner. Each VM has its own clock.
+ * Simulates several VMs and the owner of one team bucket in virtual time, with lost and
+ * delayed messages, paused VMs and changes of the owner. Each VM has its own clock.
  *
  * @author banyanstile contributors
  */
@@ -25,8 +25,8 @@
 	static final TeamId TEAM = TeamId.of("team");
 
 	/**
-	 * A request whose caller leaves while the owner is asked, so that the grant stays
-	 * unspent.
+	 * Number of attempts that marks a request whose caller disconnects before the owner
+	 * replies, so that the grant stays unspent.
 	 */
 	private static final int CANCELLED = 100;
 
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	 * Runs the fleet. Quiet phases let buckets and floors fill, floods empty them in less
-	 * than the validity of a grant.
+	 * Runs the fleet. Phases of low load let buckets and floors fill, overload empties
+	 * them in less than the validity of a grant.
 	 * @param seconds the virtual time to run
 	 * @param faultsPerSecond the rate of each kind of fault
 	 */
@@ -97,7 +97,7 @@
 			}
 			deliver();
 			for (Vm vm : this.vms) {
-				if (this.now >= vm.frozenUntil) {
+				if (this.now >= vm.pausedUntil) {
 					vm.step(this.loadFactor);
 				}
 			}
@@ -108,7 +108,7 @@
 		int one = this.random.nextInt(this.vms.size());
 		int other = this.random.nextInt(this.vms.size());
 		if (this.random.nextDouble() < probability / 4) {
-			this.vms.get(one).frozenUntil = this.now + this.random.nextLong(500 * MILLI, 30_000 * MILLI);
+			this.vms.get(one).pausedUntil = this.now + this.random.nextLong(500 * MILLI, 30_000 * MILLI);
 		}
 		if (this.random.nextDouble() < probability * 4) {
 			this.stalledUntil[one][other] = this.now + this.random.nextLong(1000 * MILLI, 12_000 * MILLI);
@@ -133,8 +133,8 @@
 	private void deliver() {
 		while (!this.events.isEmpty() && this.events.element().at <= this.now) {
 			Event event = this.events.remove();
-			if (this.now < event.to.frozenUntil) {
-				event.at = event.to.frozenUntil;
+			if (this.now < event.to.pausedUntil) {
+				event.at = event.to.pausedUntil;
 				this.events.add(event);
 			}
 			else {
@@ -183,15 +183,15 @@
 
 		private final TeamLimits limits;
 
-		private final long[] stampFrom;
+		private final long[] lastStamp;
 
-		private final long[] heardAt;
+		private final long[] heartbeatReceivedAt;
 
-		private long frozenUntil;
+		private long pausedUntil;
 
 		private long heartbeatAt;
 
-		private int believedOwner;
+		private int assumedOwner;
 
 		private TeamBucketOwner owned;
 
@@ -202,10 +202,10 @@
 		private Vm(int slot, long offset, int count) {
 			this.slot = slot;
 			this.offset = offset;
-			this.stampFrom = new long[count];
-			this.heardAt = new long[count];
-			Arrays.fill(this.stampFrom, Long.MIN_VALUE);
-			Arrays.fill(this.heardAt, Long.MIN_VALUE / 2);
+			this.lastStamp = new long[count];
+			this.heartbeatReceivedAt = new long[count];
+			Arrays.fill(this.lastStamp, Long.MIN_VALUE);
+			Arrays.fill(this.heartbeatReceivedAt, Long.MIN_VALUE / 2);
 			this.limits = TeamLimits.create(count + 1, 1);
 			this.limits.configure(Map.of(TEAM, FleetSimulation.this.limit));
 			this.limits.slotAcquired(clock());
@@ -225,11 +225,11 @@
 				heartbeat();
 			}
 			double expected = loadFactor * sim.limit.tokensPerSecond() / 200 * STEP * 1e-9 / sim.vms.size();
-			for (double left = expected; sim.random.nextDouble() < left; left--) {
-				ask(sim.random.nextLong(1, 400), 3);
+			for (double remaining = expected; sim.random.nextDouble() < remaining; remaining--) {
+				reserve(sim.random.nextLong(1, 400), 3);
 			}
 			if (sim.random.nextInt(100) == 0) {
-				askOwner(GrantRequest.of(TEAM, sim.random.nextLong(1, 800), 0), 0, CANCELLED);
+				requestGrant(GrantRequest.of(TEAM, sim.random.nextLong(1, 800), 0), 0, CANCELLED);
 			}
 		}
 
@@ -245,37 +245,37 @@
 				this.owned.unheld(unheld, clock(), clock());
 			}
 			for (Vm peer : sim.vms) {
-				boolean promise = peer.slot == this.believedOwner
-						&& (peer == this || clock() - this.heardAt[peer.slot] < 2000 * MILLI);
+				boolean promise = peer.slot == this.assumedOwner
+						&& (peer == this || clock() - this.heartbeatReceivedAt[peer.slot] < 2000 * MILLI);
 				if (promise) {
 					this.limits.promiseSent(0, clock());
 				}
 				long stamp = clock();
-				long echo = (peer == this) ? clock() : this.stampFrom[peer.slot];
+				long echo = (peer == this) ? clock() : this.lastStamp[peer.slot];
 				boolean owner = this.owned != null;
-				sim.send(this, peer, () -> peer.heard(this, stamp, echo, promise, owner));
+				sim.send(this, peer, () -> peer.heartbeatReceived(this, stamp, echo, promise, owner));
 			}
 		}
 
-		private void heard(Vm from, long stamp, long echo, boolean promise, boolean owner) {
-			this.stampFrom[from.slot] = Math.max(this.stampFrom[from.slot], stamp);
-			this.heardAt[from.slot] = clock();
+		private void heartbeatReceived(Vm from, long stamp, long echo, boolean promise, boolean owner) {
+			this.lastStamp[from.slot] = Math.max(this.lastStamp[from.slot], stamp);
+			this.heartbeatReceivedAt[from.slot] = clock();
 			if (owner) {
-				this.believedOwner = from.slot;
+				this.assumedOwner = from.slot;
 			}
 			if (promise && echo != Long.MIN_VALUE && this.owned != null) {
 				this.owned.promised(from.slot, echo, clock());
 			}
 		}
 
-		private void ask(long cost, int attempts) {
+		private void reserve(long cost, int attempts) {
 			ReserveResult result = this.limits.reserve(TEAM, cost, clock());
 			if (result instanceof ReserveResult.Reserved reserved) {
 				use(reserved.reservation());
 				return;
 			}
 			if (result instanceof ReserveResult.GrantNeeded needed && attempts > 0) {
-				askOwner(needed.request(), cost, attempts - 1);
+				requestGrant(needed.request(), cost, attempts - 1);
 			}
 			if (this.limits.reserveAvailable(TEAM, 1, null, clock()) instanceof ReserveResult.Reserved floor) {
 				FleetSimulation.this.floorUses += (floor.reservation().granted() == 0) ? 1 : 0;
@@ -283,13 +283,13 @@
 			}
 		}
 
-		private void askOwner(GrantRequest request, long cost, int attempts) {
-			Vm peer = FleetSimulation.this.vms.get(this.believedOwner);
+		private void requestGrant(GrantRequest request, long cost, int attempts) {
+			Vm peer = FleetSimulation.this.vms.get(this.assumedOwner);
 			long sentAt = clock();
-			FleetSimulation.this.send(this, peer, () -> peer.grantTo(this, request, sentAt, cost, attempts));
+			FleetSimulation.this.send(this, peer, () -> peer.grantRequested(this, request, sentAt, cost, attempts));
 		}
 
-		private void grantTo(Vm vm, GrantRequest request, long sentAt, long cost, int attempts) {
+		private void grantRequested(Vm vm, GrantRequest request, long sentAt, long cost, int attempts) {
 			if (this.owned == null || FleetSimulation.this.now >= this.ownedUntil) {
 				return;
 			}
@@ -297,7 +297,7 @@
 			FleetSimulation.this.send(this, vm, () -> {
 				vm.limits.grantReceived(TEAM, reply, sentAt, vm.clock());
 				if (attempts != CANCELLED) {
-					vm.ask(cost, attempts);
+					vm.reserve(cost, attempts);
 				}
 			});
 		}
--- a/core/src/test/java/org/banyanstile/core/limit/OverGrantTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/OverGrantTests.java
@@ -12,7 +12,7 @@
 
 /**
  * Guards against a team getting more than its rate and burst in any window of time, under
- * lost and delayed messages, frozen VMs and changes of the owner.
+ * lost and delayed messages, paused VMs and changes of the owner.
  *
  * @author banyanstile contributors
  */
@@ -37,8 +37,8 @@
 	}
 
 	/**
-	 * The checker must see the fault of an owner that counts neither outstanding grants
-	 * nor the shares in use as floors.
+	 * The checker must detect an owner that counts neither outstanding grants nor the
+	 * shares in use as floors.
 	 */
 	@Test
 	void ownerThatIgnoresOutstandingGrantsIsDetected() {
--- a/core/src/test/java/org/banyanstile/core/limit/RetryShareTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/RetryShareTests.java
@@ -19,31 +19,31 @@
 	private static final long SECOND = 1_000_000_000;
 
 	@Test
-	void sumOverVmsStaysInTheBudgetThoughNoneHearsTheOthers() {
+	void sumOverVmsStaysWithinTheBudgetWithoutCommunication() {
 		int vms = 8;
 		List<RetryShare> shares = new ArrayList<>();
 		for (int i = 0; i < vms; i++) {
 			shares.add(RetryShare.create(10 * SECOND));
 		}
-		int repeats = 0;
+		int retries = 0;
 		for (int i = 0; i < 400; i++) {
 			RetryShare share = shares.get(i % vms);
 			long now = i * SECOND / 50;
 			share.request(now);
 			for (int k = 0; k < 5; k++) {
-				repeats += share.tryRepeat(0.2, 56, vms, now) ? 1 : 0;
+				retries += share.tryRepeat(0.2, 56, vms, now) ? 1 : 0;
 			}
 		}
-		assertThat((double) repeats, is(lessThanOrEqualTo(0.2 * 400 + 56)));
+		assertThat((double) retries, is(lessThanOrEqualTo(0.2 * 400 + 56)));
 	}
 
 	@Test
-	void oneVmMayRepeatAtOnceFromTheFixedExtra() {
+	void oneVmMayRetryAtOnceFromTheFixedExtra() {
 		assertThat(RetryShare.create(10 * SECOND).tryRepeat(0.2, 56, 8, 0), is(true));
 	}
 
 	@Test
-	void repeatsOfAnEarlierWindowDoNotCount() {
+	void retriesOfAnEarlierWindowDoNotCount() {
 		RetryShare share = RetryShare.create(10 * SECOND);
 		assertThat(share.tryRepeat(0, 2, 1, 0), is(true));
 		assertThat(share.tryRepeat(0, 2, 1, SECOND), is(false));
--- a/core/src/test/java/org/banyanstile/core/limit/SharedQuotaRandomTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/SharedQuotaRandomTests.java
@@ -15,9 +15,9 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * Plays random days in virtual time: VMs that lose reports, are cut off from each other,
- * stand still and start again, under more load than the limit allows. Checks every window
- * against the users' bound.
+ * Simulates random runs in virtual time: VMs lose reports, are partitioned, pause and
+ * restart, under more load than the limit allows. Checks every window against the bound
+ * that the users tolerate.
  *
  * @author banyanstile contributors
  */
@@ -27,9 +27,9 @@
 
 	private static final long STEP_MILLIS = 10;
 
-	private static final long DAY_MILLIS = 30_000;
+	private static final long RUN_MILLIS = 30_000;
 
-	private static final long ROUND_MILLIS = 250;
+	private static final long GOSSIP_ROUND_MILLIS = 250;
 
 	private static final long WINDOW_MILLIS = 8000;
 
@@ -37,48 +37,48 @@
 
 	private static final double BURST = 40_000;
 
-	private static final double SLACK = 140_000;
+	private static final double TOLERATED_EXCESS = 140_000;
 
 	/**
-	 * What the router adds to the bucket: half of the tolerated excess.
+	 * Capacity of the bucket: the router adds half of the tolerated excess to the burst.
 	 */
-	private static final double CAPACITY = BURST + 0.5 * SLACK;
+	private static final double CAPACITY = BURST + 0.5 * TOLERATED_EXCESS;
 
-	private static final double TOLERATED = (RATE * 8 + BURST) * 1.1 + SLACK;
+	private static final double MAX_TOKENS_PER_WINDOW = (RATE * 8 + BURST) * 1.1 + TOLERATED_EXCESS;
 
 	@Test
-	void noWindowExceedsTheBoundWhileTheVmsKnowEachOther() {
-		assertThat("part of the limit that was used on the worst day", leastUse(false), greaterThan(0.5));
+	void noWindowExceedsTheBoundWhileTheVmsHaveReported() {
+		assertThat("part of the limit that was used in the worst run", leastUse(false), greaterThan(0.5));
 	}
 
 	/**
-	 * A VM that starts behind a cut has not heard the VMs on the other side. It learns
-	 * from the rows of the store that they exist.
+	 * A VM that starts during a network partition has received no reports of the
+	 * unreachable VMs. It learns from the rows of the store that they exist.
 	 */
 	@Test
-	void noWindowExceedsTheBoundWhenVmsStartBehindACut() {
-		assertThat("part of the limit that was used on the worst day", leastUse(true), greaterThan(0.5));
+	void noWindowExceedsTheBoundWhenVmsStartDuringAPartition() {
+		assertThat("part of the limit that was used in the worst run", leastUse(true), greaterThan(0.5));
 	}
 
-	private static double leastUse(boolean starts) {
+	private static double leastUse(boolean restarts) {
 		double least = Double.MAX_VALUE;
 		for (int seed = 0; seed < SEEDS; seed++) {
-			Day day = new Day(seed, starts);
-			day.play();
-			assertThat("seed " + seed, day.worstWindow, lessThanOrEqualTo(TOLERATED));
-			least = Math.min(least, day.total / (RATE * DAY_MILLIS / 1000));
+			Run run = new Run(seed, restarts);
+			run.simulate();
+			assertThat("seed " + seed, run.worstWindow, lessThanOrEqualTo(MAX_TOKENS_PER_WINDOW));
+			least = Math.min(least, run.total / (RATE * RUN_MILLIS / 1000));
 		}
 		return least;
 	}
 
 	/**
-	 * One random day.
+	 * One random run.
 	 */
-	private static final class Day {
+	private static final class Run {
 
 		private final Random random;
 
-		private final boolean starts;
+		private final boolean restarts;
 
 		private final List<Vm> vms = new ArrayList<>();
 
@@ -90,9 +90,9 @@
 
 		private double total;
 
-		private Day(int seed, boolean starts) {
+		private Run(int seed, boolean restarts) {
 			this.random = new Random(seed);
-			this.starts = starts;
+			this.restarts = restarts;
 			int count = 2 + this.random.nextInt(9);
 			for (int i = 0; i < count; i++) {
 				this.vms.add(new Vm("vm-" + i));
@@ -101,19 +101,19 @@
 			this.vms.forEach((vm) -> vm.register(names));
 		}
 
-		private void play() {
+		private void simulate() {
 			double loss = this.random.nextDouble() * 0.3;
-			if (!this.starts) {
+			if (!this.restarts) {
 				this.vms.forEach((vm) -> report(vm, 0, 0));
 			}
-			for (long now = 0; now < DAY_MILLIS; now += STEP_MILLIS) {
+			for (long now = 0; now < RUN_MILLIS; now += STEP_MILLIS) {
 				if (this.random.nextInt(300) == 0) {
-					trouble(now);
+					injectFault(now);
 				}
 				for (Vm vm : this.vms) {
-					if (now >= vm.stillUntil && now >= vm.downUntil) {
+					if (now >= vm.pausedUntil && now >= vm.downUntil) {
 						demand(vm, now);
-						if ((now + vm.phase) % ROUND_MILLIS == 0) {
+						if ((now + vm.reportOffset) % GOSSIP_ROUND_MILLIS == 0) {
 							report(vm, now, loss);
 						}
 					}
@@ -121,13 +121,13 @@
 			}
 		}
 
-		private void trouble(long now) {
+		private void injectFault(long now) {
 			Vm vm = this.vms.get(this.random.nextInt(this.vms.size()));
 			int kind = this.random.nextInt(4);
 			if (kind == 0) {
-				vm.stillUntil = now + this.random.nextInt(4000);
+				vm.pausedUntil = now + this.random.nextInt(4000);
 			}
-			else if (kind == 1 && this.starts) {
+			else if (kind == 1 && this.restarts) {
 				vm.restart(now + 500 + this.random.nextInt(3000));
 			}
 			else {
@@ -156,7 +156,7 @@
 		private void report(Vm vm, long now, double loss) {
 			for (Vm other : this.vms) {
 				boolean reached = other != vm && other.side == vm.side && now >= other.downUntil
-						&& now >= other.stillUntil && this.random.nextDouble() >= loss;
+						&& now >= other.pausedUntil && this.random.nextDouble() >= loss;
 				if (reached) {
 					other.quota(now).report(vm.name, vm.incarnation, vm.quota(now).used(), now * 1_000_000);
 				}
@@ -172,7 +172,7 @@
 
 		private final String name;
 
-		private final long phase;
+		private final long reportOffset;
 
 		private SharedQuota quota = SharedQuota.empty(RATE, CAPACITY, 0);
 
@@ -180,7 +180,7 @@
 
 		private int side;
 
-		private long stillUntil;
+		private long pausedUntil;
 
 		private long downUntil;
 
@@ -190,7 +190,8 @@
 
 		private Vm(String name) {
 			this.name = name;
-			this.phase = Math.floorMod(name.hashCode() * 70, (int) ROUND_MILLIS) / STEP_MILLIS * STEP_MILLIS;
+			this.reportOffset = Math.floorMod(name.hashCode() * 70, (int) GOSSIP_ROUND_MILLIS) / STEP_MILLIS
+					* STEP_MILLIS;
 		}
 
 		private void register(Set<String> names) {
--- a/core/src/test/java/org/banyanstile/core/limit/SharedQuotaTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/SharedQuotaTests.java
@@ -27,10 +27,10 @@
 	private static final double BURST = 50_000;
 
 	/**
-	 * Excess that the users tolerate in a window of eight seconds: a tenth, and 140,000
-	 * tokens.
+	 * Tokens that the users tolerate in a window of eight seconds: a tenth and 140,000
+	 * tokens above the limit.
 	 */
-	private static final double TOLERATED = (RATE * 8 + BURST) * 1.1 + 140_000;
+	private static final double MAX_TOKENS_PER_WINDOW = (RATE * 8 + BURST) * 1.1 + 140_000;
 
 	private static final long WINDOW_MILLIS = 8000;
 
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void registeredVmThatIsNotHeardHoldsItsShareOfTheBucket() {
+	void registeredVmWithoutReportsKeepsItsShareOfTheBucket() {
 		SharedQuota quota = SharedQuota.empty(RATE, BURST, 0);
 		quota.setPeers(Set.of("vm1"), 0);
 		assertThat(quota.take((long) BURST / 2, 10_000 * MILLI), is(0L));
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void vmThatLeftTheFleetHoldsNoShare() {
+	void vmThatLeftTheFleetKeepsNoShare() {
 		SharedQuota quota = SharedQuota.empty(RATE, BURST, 0);
 		quota.setPeers(Set.of("vm1"), 0);
 		quota.setPeers(Set.of(), 5000 * MILLI);
@@ -67,7 +67,7 @@
 	}
 
 	@Test
-	void smallRequestPassesWhereALargeOneHasEmptiedTheBucket() {
+	void smallRequestPassesAfterALargeOneHasEmptiedTheBucket() {
 		SharedQuota quota = SharedQuota.empty(RATE, BURST, 0);
 		assertThat(quota.take(50_000, 1000 * MILLI), is(0L));
 		assertThat(quota.take(200, 1000 * MILLI), is(0L));
@@ -75,7 +75,7 @@
 	}
 
 	@Test
-	void useOfAnotherVmIsTakenOff() {
+	void useOfAnotherVmIsSubtracted() {
 		SharedQuota quota = SharedQuota.empty(RATE, BURST, 0);
 		quota.report("other", 1, 0, 500 * MILLI);
 		quota.report("other", 1, 45_000, 1000 * MILLI);
@@ -92,28 +92,28 @@
 	}
 
 	@Test
-	void fleetStaysInTheToleratedExcessUnderAFloodAndPartitions() {
+	void fleetStaysWithinTheToleratedExcessUnderOverloadAndPartitions() {
 		for (int seed = 0; seed < 60; seed++) {
-			assertThat("seed " + seed, worstWindow(new Random(seed), true), is(lessThanOrEqualTo(TOLERATED)));
+			assertThat("seed " + seed, worstWindow(new Random(seed), true),
+					is(lessThanOrEqualTo(MAX_TOKENS_PER_WINDOW)));
 		}
 	}
 
 	@Test
-	void fleetUsesMostOfTheLimitWhenAllVmsHearEachOther() {
+	void fleetUsesMostOfTheLimitWhenAllReportsArrive() {
 		double worst = worstWindow(new Random(1), false);
 		assertThat(worst, is(greaterThan(RATE * 8 * 0.9)));
-		assertThat(worst, is(lessThan(TOLERATED)));
+		assertThat(worst, is(lessThan(MAX_TOKENS_PER_WINDOW)));
 	}
 
-	// Every VM gets more than the whole limit; reports take a round, and a part of the
-	// VMs
-	// is cut off from the rest for some seconds.
+	// Every VM receives more requests than the whole limit allows. Reports take a gossip
+	// round, and a part of the VMs is partitioned from the rest for some seconds.
 	private static double worstWindow(Random random, boolean partitions) {
 		List<SharedQuota> vms = new ArrayList<>();
 		for (int i = 0; i < VMS; i++) {
 			vms.add(SharedQuota.empty(RATE, BURST, 0));
 		}
-		int cut = 1 + random.nextInt(VMS - 1);
+		int partitionSize = 1 + random.nextInt(VMS - 1);
 		long from = 3000 + random.nextInt(5000);
 		long to = from + 3000 + random.nextInt(9000);
 		double[] admitted = new double[20_000];
@@ -125,16 +125,16 @@
 				admitted[millis] += tokens;
 			}
 			if (millis % 250 == 0) {
-				report(vms, now, partitions && millis >= from && millis < to, cut);
+				report(vms, now, partitions && millis >= from && millis < to, partitionSize);
 			}
 		}
 		return worst(admitted);
 	}
 
-	private static void report(List<SharedQuota> vms, long now, boolean partitioned, int cut) {
+	private static void report(List<SharedQuota> vms, long now, boolean partitioned, int partitionSize) {
 		for (int i = 0; i < VMS; i++) {
 			for (int j = 0; j < VMS; j++) {
-				if (i != j && !(partitioned && (i < cut) != (j < cut))) {
+				if (i != j && !(partitioned && (i < partitionSize) != (j < partitionSize))) {
 					vms.get(j).report("vm" + i, 1, vms.get(i).used(), now);
 				}
 			}
--- a/core/src/test/java/org/banyanstile/core/limit/TeamLimitsTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/TeamLimitsTests.java
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Guards against refusals within rate: with rate/N, a team that uses one VM gets a
-	 * sixteenth of its rate.
+	 * Guards against refusals within the rate: with a fixed share of rate/N for each VM,
+	 * a team that uses one VM would get a sixteenth of its rate.
 	 */
 	@Test
 	void teamOnOneVmIsServedWithinItsRate() {
@@ -89,7 +89,7 @@
 	 * Guards against a retry time at which the retry fails again.
 	 */
 	@Test
-	void retryTimeIsTheTimeAtWhichTheTokensAreThere() {
+	void retryTimeIsTheTimeAtWhichTheTokensAreAvailable() {
 		for (long now = 0; now <= 6_000 * MILLI; now += 1_000 * MILLI) {
 			allSharesOwn(now);
 		}
@@ -103,7 +103,8 @@
 	}
 
 	/**
-	 * Guards against a takeover that grants tokens beside the previous owner's grants.
+	 * Guards against a new owner that grants tokens while grants of the previous owner
+	 * are still valid.
 	 */
 	@Test
 	void newOwnerGrantsNothingUntilOldGrantsHaveExpired() {
@@ -134,7 +135,7 @@
 
 	/**
 	 * Guards against the loss of the tokens that a request reserved but did not use: a
-	 * team would be refused within its rate when answers are shorter than the maximum.
+	 * team would be refused within its rate when responses are shorter than the maximum.
 	 */
 	@Test
 	void unusedPartIsReturnedToTheOwner() {
@@ -180,7 +181,7 @@
 	 * of shares without a promise is not the owner's.
 	 */
 	@Test
-	void ownerLeavesTheBurstOfForeignSharesAlone() {
+	void ownerDoesNotGrantTheBurstOfOtherShares() {
 		BitSet half = new BitSet();
 		half.set(0, SLOTS / 2);
 		for (long now = 0; now <= 30_000 * MILLI; now += 1_000 * MILLI) {
@@ -190,11 +191,11 @@
 	}
 
 	/**
-	 * Guards against a promise counted from its receipt: a paused owner reads it when the
-	 * VM already uses its floor.
+	 * Guards against a promise whose time counts from its receipt: a paused owner reads
+	 * it when the VM already uses its floor.
 	 */
 	@Test
-	void lateReadPromiseDoesNotCount() {
+	void promiseThatIsReadLateDoesNotCount() {
 		this.owner.promised(1, 0, 4_000 * MILLI);
 		assertThat(this.owner.ownShares(4_000 * MILLI), equalTo(0));
 		this.owner.promised(1, 3_000 * MILLI, 4_000 * MILLI);
@@ -203,8 +204,8 @@
 	}
 
 	/**
-	 * Guards against returned tokens on top of a bucket that was full meanwhile, and
-	 * against a refill for the time in which grants filled the bucket.
+	 * Guards against crediting returned tokens to a bucket that was full in the meantime,
+	 * and against a refill for the time in which outstanding grants filled the bucket.
 	 */
 	@Test
 	void fullBucketTakesNoReturns() {
--- a/core/src/test/java/org/banyanstile/core/limit/WindowChecker.java
+++ b/core/src/test/java/org/banyanstile/core/limit/WindowChecker.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * Checks that every window of time saw at most burst + rate times its length. A bucket
- * that only counts what was used is equivalent to checking all windows.
+ * Checks that at most burst + rate times length was used in every window of time. A leaky
+ * bucket that counts the used tokens is equivalent to checking all windows.
  *
  * @author banyanstile contributors
  */
