--- a/core/src/main/java/org/banyanstile/core/admission/EndpointSelection.java
+++ b/core/src/main/java/org/banyanstile/core/admission/EndpointSelection.java
@@ -14,10 +14,11 @@
 final class EndpointSelection {
 
 	/**
-	 * Requests by which the endpoint with the cached prefix may exceed the least loaded
-	 * one. More would cost more waiting than the prefix saves.
+	 * Number of requests by which the load of the endpoint with the cached prefix may
+	 * exceed that of the least loaded one. With a larger excess, the added waiting time
+	 * exceeds what the cached prefix saves.
 	 */
-	private static final int AFFINITY_BOUND = 2;
+	private static final int MAX_AFFINITY_EXCESS = 2;
 
 	private final Map<EndpointId, EndpointSlots> endpoints;
 
@@ -30,7 +31,7 @@
 	}
 
 	/**
-	 * Returns the slots that the endpoints allow.
+	 * Returns the number of slots that the endpoints allow.
 	 * @return the sum over all endpoints
 	 */
 	int allowedSlots() {
@@ -47,7 +48,7 @@
 		}
 		EndpointSlots hinted = (preferred != null) ? this.endpoints.get(preferred) : null;
 		if (least != null && hinted != null && hinted.isOpen(excluded)
-				&& hinted.held() <= least.held() + AFFINITY_BOUND) {
+				&& hinted.held() <= least.held() + MAX_AFFINITY_EXCESS) {
 			return hinted;
 		}
 		return least;
--- a/core/src/main/java/org/banyanstile/core/admission/EndpointSlots.java
+++ b/core/src/main/java/org/banyanstile/core/admission/EndpointSlots.java
@@ -31,7 +31,7 @@
 	private boolean active = true;
 
 	/**
-	 * Whether the engine's stream list was read, without which the free slots of an
+	 * Whether the engine's stream list has been read. Without it, the free slots of an
 	 * endpoint are unknown after a change of the owner.
 	 */
 	private boolean listed;
@@ -105,8 +105,8 @@
 		this.reservedFor = requestId;
 	}
 
-	void hold(String requestId, VmId holder, long now, long until) {
-		this.slots.put(requestId, new Slot(holder, now, until));
+	void hold(String requestId, VmId holder, long now, long expiresAt) {
+		this.slots.put(requestId, new Slot(holder, now, expiresAt));
 	}
 
 	boolean release(String requestId) {
@@ -120,33 +120,33 @@
 		return this.slots.containsKey(requestId);
 	}
 
-	void renew(String requestId, VmId holder, long until) {
+	void renew(String requestId, VmId holder, long expiresAt) {
 		Slot slot = this.slots.get(requestId);
 		if (slot != null) {
-			slot.until = until;
+			slot.expiresAt = expiresAt;
 			slot.holder = holder;
 		}
 	}
 
-	void observed(List<ObservedStream> streams, long askedAt, long until) {
+	void observed(List<ObservedStream> streams, long askedAt, long expiresAt) {
 		this.listed = true;
 		for (ObservedStream stream : streams) {
 			Slot slot = this.slots.computeIfAbsent(stream.requestId(),
-					(id) -> new Slot(stream.holder(), askedAt, until));
-			slot.seen = true;
-			slot.until = until;
+					(id) -> new Slot(stream.holder(), askedAt, expiresAt));
+			slot.streamListed = true;
+			slot.expiresAt = expiresAt;
 			slot.holder = stream.holder();
 		}
-		Set<String> shown = streams.stream().map(ObservedStream::requestId).collect(Collectors.toSet());
-		releaseAll((id, slot) -> slot.seen && slot.since <= askedAt && !shown.contains(id));
+		Set<String> listedIds = streams.stream().map(ObservedStream::requestId).collect(Collectors.toSet());
+		releaseAll((id, slot) -> slot.streamListed && slot.heldSince <= askedAt && !listedIds.contains(id));
 	}
 
 	void expire(long now) {
-		releaseAll((id, slot) -> slot.until <= now);
+		releaseAll((id, slot) -> slot.expiresAt <= now);
 	}
 
-	void vmGone(VmId vm) {
-		releaseAll((id, slot) -> !slot.seen && slot.holder.equals(vm));
+	void vmRemoved(VmId vm) {
+		releaseAll((id, slot) -> !slot.streamListed && slot.holder.equals(vm));
 	}
 
 	private void releaseAll(SlotCondition condition) {
@@ -168,18 +168,18 @@
 
 	private static final class Slot {
 
-		private final long since;
+		private final long heldSince;
 
 		private VmId holder;
 
-		private long until;
+		private long expiresAt;
 
-		private boolean seen;
+		private boolean streamListed;
 
-		private Slot(VmId holder, long since, long until) {
+		private Slot(VmId holder, long heldSince, long expiresAt) {
 			this.holder = holder;
-			this.since = since;
-			this.until = until;
+			this.heldSince = heldSince;
+			this.expiresAt = expiresAt;
 		}
 
 	}
--- a/core/src/main/java/org/banyanstile/core/admission/FairQueue.java
+++ b/core/src/main/java/org/banyanstile/core/admission/FairQueue.java
@@ -13,9 +13,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Start-time fair queue of requests across teams, in tokens divided by weight. A team is
- * charged when a request is served, so refused requests cost it nothing. Not safe for use
- * by several threads.
+ * Queue of requests with start-time fair queueing across teams, in tokens divided by
+ * weight. A team is charged when a request is served, so refused requests cost it
+ * nothing. Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -29,8 +29,8 @@
 
 	/**
 	 * How far a team that used less than its share may lag behind the virtual time.
-	 * Without it the share that is not used in a quiet moment is lost, and a team that
-	 * uses its share in bursts gets less than a team that always sends.
+	 * Without it, a team would lose the share that it does not use while it is idle, and
+	 * a team that sends in bursts would get less than a team that sends all the time.
 	 */
 	private double credit;
 
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * Counts the teams that used the pool lately. Idle teams are forgotten when they have
-	 * their whole credit again.
+	 * Counts the teams that used the pool recently. An idle team is removed once its
+	 * whole credit is restored.
 	 * @return the number of teams
 	 */
 	int activeTeams() {
@@ -55,7 +55,7 @@
 	}
 
 	/**
-	 * Returns whether a team used less than its share lately.
+	 * Returns whether a team used less than its share recently.
 	 * @param team the team
 	 * @return true if the team is behind the virtual time
 	 */
@@ -100,7 +100,7 @@
 		this.size--;
 		this.virtualTime = Math.max(this.virtualTime, best.tag);
 		best.tag += next.request().cost() / next.request().weight();
-		retireIfEmpty(next.request().team(), best);
+		markIdleIfEmpty(next.request().team(), best);
 		return next;
 	}
 
@@ -146,12 +146,12 @@
 					this.size--;
 				}
 			}
-			retireIfEmpty(team, queue);
+			markIdleIfEmpty(team, queue);
 		}
 		return removed;
 	}
 
-	private void retireIfEmpty(TeamId team, TeamQueue queue) {
+	private void markIdleIfEmpty(TeamId team, TeamQueue queue) {
 		if (!queue.waiting.isEmpty()) {
 			return;
 		}
--- a/core/src/main/java/org/banyanstile/core/admission/RecentShares.java
+++ b/core/src/main/java/org/banyanstile/core/admission/RecentShares.java
@@ -6,7 +6,7 @@
 import org.banyanstile.core.common.TeamId;
 
 /**
- * Shares of the teams in the tokens granted lately. Older grants count less: instead of
+ * Shares of the teams in the recently granted tokens. Older grants count less: instead of
  * reducing all of them at each grant, each new grant counts more than the one before, so
  * that the cost of a grant does not depend on the number of teams. Not safe for use by
  * several threads.
@@ -16,29 +16,31 @@
 final class RecentShares {
 
 	/**
-	 * Number of requests over which a grant is forgotten. It is several times the slots
-	 * of a pool, so that a team is not judged by a few requests.
+	 * Number of grants over which the weight of a grant decays to 1/e. It is several
+	 * times the slots of a pool, so that the share of a team does not depend on a few
+	 * requests.
 	 */
-	private static final double MEAN_OVER = 500;
+	private static final double DECAY_GRANTS = 500;
 
 	/**
-	 * Share below which a team is forgotten.
+	 * Share below which a team is removed.
 	 */
-	private static final double NEGLIGIBLE = 0.001;
+	private static final double NEGLIGIBLE_SHARE = 0.001;
 
 	/**
-	 * Excess over the fair share from which a team counts as above it. Over ten seeds,
-	 * the worst team of a pool of 80 slots got 0.943 of its fair share with 1.2 and 0.958
-	 * with 1.1, for 10% more refusals of equal teams at 95% load.
+	 * Multiple of the fair share from which a team counts as above its share. Over ten
+	 * seeds, the worst team of a pool of 80 slots gets 0.943 of its fair share with 1.2
+	 * and 0.958 with 1.1, at the cost of 10% more refusals of equal teams at 95% load.
 	 */
-	private static final double EXCESS = 1.1;
+	private static final double ABOVE_SHARE_FACTOR = 1.1;
 
-	private static final double GROWTH = 1 / (1 - 1 / MEAN_OVER);
+	private static final double GROWTH = 1 / (1 - 1 / DECAY_GRANTS);
 
 	/**
-	 * Grants between two clean-ups. The unit grows by less than 1.14 in that time.
+	 * Number of grants between two clean-ups. The unit grows by a factor below 1.14 in
+	 * that time.
 	 */
-	private static final int CLEAN_UP_AFTER = 64;
+	private static final int GRANTS_PER_CLEAN_UP = 64;
 
 	private final Map<TeamId, Granted> teams = new HashMap<>();
 
@@ -58,17 +60,17 @@
 		this.weights += request.weight() - ((old != null) ? old.weight() : 0);
 		this.teams.put(request.team(), new Granted(before + tokens, request.weight()));
 		this.total += tokens;
-		if (++this.grants == CLEAN_UP_AFTER) {
+		if (++this.grants == GRANTS_PER_CLEAN_UP) {
 			cleanUp();
 		}
 	}
 
 	/**
-	 * Forgets teams that were granted next to nothing, and counts in units of the latest
-	 * grant again, so that no number grows without bound.
+	 * Removes teams with a negligible share, and rescales all tokens to the unit of the
+	 * latest grant, so that no number grows without bound.
 	 */
 	private void cleanUp() {
-		this.teams.values().removeIf((granted) -> granted.tokens() < NEGLIGIBLE * this.total);
+		this.teams.values().removeIf((granted) -> granted.tokens() < NEGLIGIBLE_SHARE * this.total);
 		this.teams.replaceAll((team, granted) -> new Granted(granted.tokens() / this.unit, granted.weight()));
 		this.weights = this.teams.values().stream().mapToDouble(Granted::weight).sum();
 		this.total /= this.unit;
@@ -83,13 +85,13 @@
 	 */
 	boolean isAboveShare(SlotRequest request) {
 		Granted own = this.teams.get(request.team());
-		return own != null && own.tokens() * this.weights > EXCESS * this.total * own.weight();
+		return own != null && own.tokens() * this.weights > ABOVE_SHARE_FACTOR * this.total * own.weight();
 	}
 
 	/**
 	 * Tokens granted to a team.
 	 *
-	 * @param tokens the tokens in units of an old grant
+	 * @param tokens the tokens, in the unit of the grants at the last clean-up
 	 * @param weight weight of the team
 	 * @author banyanstile contributors
 	 */
--- a/core/src/main/java/org/banyanstile/core/admission/ReleaseRate.java
+++ b/core/src/main/java/org/banyanstile/core/admission/ReleaseRate.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Rate at which slots become free, from the last two full periods. Not safe for use by
- * several threads.
+ * Rate at which slots become free, measured over the previous period and the current one.
+ * Not safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -26,7 +26,7 @@
 	/**
 	 * Returns the rate.
 	 * @param now the current time in nanoseconds
-	 * @return the releases per nanosecond, 0 if not known
+	 * @return the releases per nanosecond, 0 if unknown
 	 */
 	double perNano(long now) {
 		roll(now);
--- a/core/src/main/java/org/banyanstile/core/admission/RetryBudget.java
+++ b/core/src/main/java/org/banyanstile/core/admission/RetryBudget.java
@@ -8,8 +8,8 @@
 public final class RetryBudget {
 
 	/**
-	 * Retries that may be saved up, so that one crashed endpoint with a full set of
-	 * requests can be retried at once.
+	 * Number of retries that may accumulate, so that all requests of one full endpoint
+	 * can be retried at once after it crashed.
 	 */
 	private static final double MAX_BALANCE = 20;
 
@@ -44,7 +44,7 @@
 
 	/**
 	 * Takes one retry.
-	 * @return false if the budget is used up, so the request fails
+	 * @return false if the budget is exhausted, so that the request fails
 	 */
 	public boolean tryRetry() {
 		synchronized (this.lock) {
--- a/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
@@ -23,8 +23,8 @@
 public final class SlotBroker {
 
 	/**
-	 * Validity of a slot that the engine's stream list does not show: prefill and
-	 * transfer take under a second, and a failed VM is noticed after 15 s.
+	 * Validity of a slot whose stream the engine does not list: prefill and transfer take
+	 * under a second, and a failed VM is detected after 15 s.
 	 */
 	public static final long SLOT_NANOS = TimeUnit.SECONDS.toNanos(15);
 
@@ -32,17 +32,17 @@
 
 	private static final long MIN_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-	private static final double MEAN_OVER = 100;
+	private static final double MEAN_COST_GRANTS = 100;
 
 	private static final int MAX_WAITING = 10_000;
 
 	/**
-	 * Free slots that are kept from teams above their share, in standard deviations of
-	 * the arrivals.
+	 * Free slots that are not granted to teams above their share, in standard deviations
+	 * of the arrivals.
 	 */
-	private static final double KEPT_ABOVE_SHARE = 1.5;
+	private static final double KEPT_FROM_TEAMS_ABOVE_SHARE = 1.5;
 
-	private static final double KEPT = 0.5;
+	private static final double KEPT_FROM_OTHER_TEAMS = 0.5;
 
 	private final Object lock = new Object();
 
@@ -50,7 +50,7 @@
 
 	private final EndpointSelection selection = new EndpointSelection(this.endpoints);
 
-	private final Map<String, EndpointSlots> holding = new HashMap<>();
+	private final Map<String, EndpointSlots> slotsByRequest = new HashMap<>();
 
 	private final Map<String, FairQueue.Waiting> suspects = new LinkedHashMap<>();
 
@@ -75,8 +75,8 @@
 	}
 
 	/**
-	 * Sets the endpoints that may get new work. Those that are absent are leaving or
-	 * drained: running streams are completed there.
+	 * Sets the endpoints that may get new work. An endpoint that is absent is leaving or
+	 * drained, and only completes its running streams.
 	 * @param candidates the active endpoints that are not drained
 	 * @param now the current time in nanoseconds
 	 * @return the decisions that follow
@@ -97,16 +97,16 @@
 	 * Requests a slot.
 	 * @param request the request
 	 * @param now the current time in nanoseconds
-	 * @return the decisions that follow; if none is on this request, it waits
+	 * @return the decisions that follow; without a decision on this request, it waits
 	 */
 	public List<SlotDecision> request(SlotRequest request, long now) {
 		synchronized (this.lock) {
-			EndpointSlots held = this.holding.get(request.requestId());
+			EndpointSlots held = this.slotsByRequest.get(request.requestId());
 			if (held != null && held.isHeld(request.requestId())) {
 				held.renew(request.requestId(), request.holder(), now + SLOT_NANOS);
 				return List.of(new SlotDecision.Granted(request.requestId(), held.endpoint(), SLOT_NANOS));
 			}
-			if (isHopeless(request, now)) {
+			if (isUnservable(request, now)) {
 				return List.of(new SlotDecision.Refused(request.requestId(), retryAfter(now)));
 			}
 			FairQueue.Waiting waiting = new FairQueue.Waiting(request, now + request.maxWaitNanos());
@@ -129,7 +129,7 @@
 	 */
 	public List<SlotDecision> release(String requestId, SlotOutcome outcome, long now) {
 		synchronized (this.lock) {
-			EndpointSlots slots = this.holding.remove(requestId);
+			EndpointSlots slots = this.slotsByRequest.remove(requestId);
 			if (slots == null || !slots.isHeld(requestId)) {
 				this.suspects.remove(requestId);
 				this.queue.removeIf((waiting) -> waiting.request().requestId().equals(requestId));
@@ -159,7 +159,7 @@
 	public void renew(VmId holder, List<String> requestIds, long now) {
 		synchronized (this.lock) {
 			for (String requestId : requestIds) {
-				EndpointSlots slots = this.holding.get(requestId);
+				EndpointSlots slots = this.slotsByRequest.get(requestId);
 				if (slots != null) {
 					slots.renew(requestId, holder, now + SLOT_NANOS);
 				}
@@ -179,17 +179,17 @@
 			EndpointSlots slots = this.endpoints.get(endpoint);
 			if (slots != null && !slots.isHeld(requestId)) {
 				slots.hold(requestId, holder, now, now + SLOT_NANOS);
-				this.holding.put(requestId, slots);
+				this.slotsByRequest.put(requestId, slots);
 			}
 		}
 	}
 
 	/**
-	 * Records the stream list of an engine. Unknown streams take slots, and slots whose
-	 * stream was listed before and is not any more are free.
+	 * Records the stream list of an engine. Streams that hold no slot yet get one, and a
+	 * slot is released when its stream was listed before and is no longer.
 	 * @param endpoint the endpoint
 	 * @param streams its streams
-	 * @param askedAt the time before the list was requested
+	 * @param askedAt a time before the list was requested
 	 * @param now the current time in nanoseconds
 	 * @return the decisions that follow
 	 */
@@ -201,7 +201,7 @@
 			}
 			int before = slots.held();
 			slots.observed(streams, askedAt, now + SLOT_NANOS);
-			streams.forEach((stream) -> this.holding.put(stream.requestId(), slots));
+			streams.forEach((stream) -> this.slotsByRequest.put(stream.requestId(), slots));
 			for (int freed = before - slots.held(); freed > 0; freed--) {
 				this.releases.released(now);
 			}
@@ -233,7 +233,7 @@
 		synchronized (this.lock) {
 			this.suspects.values().removeIf((waiting) -> waiting.request().holder().equals(vm));
 			this.queue.removeIf((waiting) -> waiting.request().holder().equals(vm));
-			this.endpoints.values().forEach((slots) -> slots.vmGone(vm));
+			this.endpoints.values().forEach((slots) -> slots.vmRemoved(vm));
 			return decide(now);
 		}
 	}
@@ -247,7 +247,7 @@
 	public List<SlotDecision> tick(long now) {
 		synchronized (this.lock) {
 			this.endpoints.values().forEach((slots) -> slots.expire(now));
-			this.holding.entrySet().removeIf((entry) -> !entry.getValue().isHeld(entry.getKey()));
+			this.slotsByRequest.entrySet().removeIf((entry) -> !entry.getValue().isHeld(entry.getKey()));
 			this.endpoints.values().removeIf(EndpointSlots::isRemovable);
 			return decide(now);
 		}
@@ -302,17 +302,17 @@
 	}
 
 	/**
-	 * Returns whether a request may be granted one of the last free slots. They are kept
-	 * for teams that used less than their share: without them such a team waits for the
-	 * next release, which takes longer than the first-token target allows in a small
-	 * pool. The square root of the slots is the standard deviation of their arrivals.
-	 * More of it is kept from teams above their share than from the others, since slots
-	 * that are kept cost goodput.
+	 * Returns whether a request may be granted one of the last free slots. These are kept
+	 * for teams that used less than their share. Otherwise such a team would wait for the
+	 * next release, which in a small pool takes longer than the first-token target
+	 * allows. The square root of the slots is the standard deviation of their arrivals. A
+	 * larger multiple of it is kept from teams above their share than from the others,
+	 * since unused slots reduce goodput.
 	 * @param request the request
 	 * @return true if more slots are free, or the team is behind or alone
 	 */
 	private boolean mayUseLastSlots(SlotRequest request) {
-		double kept = this.shares.isAboveShare(request) ? KEPT_ABOVE_SHARE : KEPT;
+		double kept = this.shares.isAboveShare(request) ? KEPT_FROM_TEAMS_ABOVE_SHARE : KEPT_FROM_OTHER_TEAMS;
 		return this.selection.freeSlots() > kept * Math.sqrt(this.selection.allowedSlots())
 				|| this.queue.isBehind(request.team()) || this.queue.activeTeams() <= 1;
 	}
@@ -320,9 +320,9 @@
 	private void grant(SlotRequest request, EndpointSlots slots, long now, List<SlotDecision> decisions) {
 		slots.hold(request.requestId(), request.holder(), now, now + SLOT_NANOS);
 		this.shares.granted(request);
-		this.meanCost += (request.cost() - this.meanCost) / MEAN_OVER;
+		this.meanCost += (request.cost() - this.meanCost) / MEAN_COST_GRANTS;
 		this.queue.credit(this.meanCost * this.selection.allowedSlots());
-		this.holding.put(request.requestId(), slots);
+		this.slotsByRequest.put(request.requestId(), slots);
 		decisions.add(new SlotDecision.Granted(request.requestId(), slots.endpoint(), SLOT_NANOS));
 	}
 
@@ -343,9 +343,9 @@
 	}
 
 	private void placeSuspects(long now, List<SlotDecision> decisions) {
-		// An endpoint is emptied for each suspect in turn. At most a quarter of the pool
-		// is used for suspects, so that a crash with many requests in flight does not
-		// stop all other work.
+		// Endpoints are reserved for the suspects one by one. A reserved endpoint gets no
+		// new work until it is empty. At most a quarter of the pool is reserved, so that
+		// a crash with many requests in flight does not stop all other work.
 		for (FairQueue.Waiting waiting : List.copyOf(this.suspects.values())) {
 			EndpointSlots reserved = this.selection.reservation(waiting.request());
 			if (reserved == null) {
@@ -358,16 +358,17 @@
 		}
 	}
 
-	private boolean isHopeless(SlotRequest request, long now) {
-		boolean possible = this.endpoints.values().stream().anyMatch((slots) -> slots.isUsable(request.excluded()));
-		if (!possible || this.queue.size() >= MAX_WAITING) {
+	private boolean isUnservable(SlotRequest request, long now) {
+		boolean anyUsable = this.endpoints.values().stream().anyMatch((slots) -> slots.isUsable(request.excluded()));
+		if (!anyUsable || this.queue.size() >= MAX_WAITING) {
 			return true;
 		}
 		double rate = this.releases.perNano(now);
 		if (request.isolated() || rate <= 0 || choose(request) != null) {
 			return false;
 		}
-		// The next in order waits: the release rate is a mean, and one release is enough.
+		// The next request in order waits in any case: the release rate is a mean, and
+		// one release is enough.
 		int ahead = this.queue.ahead(request);
 		return request.maxWaitNanos() <= 0 || (ahead > 0 && (ahead + 1) / rate > request.maxWaitNanos());
 	}
--- a/core/src/main/java/org/banyanstile/core/admission/SlotDecision.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotDecision.java
@@ -3,7 +3,7 @@
 import org.banyanstile.core.common.EndpointId;
 
 /**
- * Decision on a slot request, to be sent to its VM.
+ * Decision on a slot request, to be sent to the VM that made the request.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/admission/SlotOutcome.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotOutcome.java
@@ -1,19 +1,19 @@
 package org.banyanstile.core.admission;
 
 /**
- * End of the use of a slot.
+ * How the request that held a slot ended.
  *
  * @author banyanstile contributors
  */
 public enum SlotOutcome {
 
 	/**
-	 * The answer was complete, within the latency targets.
+	 * The response was complete and within the latency targets.
 	 */
 	COMPLETED,
 
 	/**
-	 * The answer was complete, but late.
+	 * The response was complete, but late.
 	 */
 	COMPLETED_LATE,
 
--- a/core/src/main/java/org/banyanstile/core/admission/SlotRequest.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotRequest.java
@@ -17,7 +17,7 @@
  * @param cost prompt tokens and expected output tokens
  * @param maxWaitNanos the longest wait with which the first-token target can be met
  * @param isolated whether the request is a suspect and must run alone on its endpoint
- * @param preferred the endpoint with the longest cached prefix, a hint
+ * @param preferred the endpoint with the longest cached prefix, used as a hint
  * @param excluded the endpoints at which this request failed
  * @author banyanstile contributors
  */
--- a/core/src/test/java/org/banyanstile/core/admission/SlotBrokerTests.java
+++ b/core/src/test/java/org/banyanstile/core/admission/SlotBrokerTests.java
@@ -54,7 +54,7 @@
 		return new SlotRequest(id, VM, TeamId.of(team), 1, cost, 300 * MILLI, false, null, Set.of());
 	}
 
-	private List<SlotDecision> ask(String id, long nowMillis) {
+	private List<SlotDecision> requestSlot(String id, long nowMillis) {
 		return this.broker.request(slot(id, "team", 100), nowMillis * MILLI);
 	}
 
@@ -65,20 +65,20 @@
 	@Test
 	void waitingRequestGetsTheSlotThatIsReleased() {
 		endpoints(1, A);
-		assertThat(ask("1", 0), contains(granted("1", A)));
-		assertThat(ask("2", 0), empty());
+		assertThat(requestSlot("1", 0), contains(granted("1", A)));
+		assertThat(requestSlot("2", 0), empty());
 		assertThat(this.broker.release("1", SlotOutcome.COMPLETED, MILLI), contains(granted("2", A)));
 	}
 
 	/**
-	 * Guards against a refusal after work was done, and against an answer that cannot
+	 * Guards against a refusal after work was done, and against a response that cannot
 	 * meet the first-token target.
 	 */
 	@Test
 	void requestThatWaitedTooLongIsRefusedAndHoldsNothing() {
 		endpoints(1, A);
-		ask("1", 0);
-		ask("2", 0);
+		requestSlot("1", 0);
+		requestSlot("2", 0);
 		assertThat(this.broker.tick(299 * MILLI), empty());
 		assertThat(this.broker.tick(300 * MILLI).get(0), instanceOf(SlotDecision.Refused.class));
 		assertThat(this.broker.release("1", SlotOutcome.COMPLETED, 301 * MILLI), empty());
@@ -86,7 +86,8 @@
 	}
 
 	/**
-	 * Guards against a team that takes the slots of others by sending five times as much.
+	 * Guards against a team that takes the slots of others by sending five times as many
+	 * requests.
 	 */
 	@Test
 	void slotsAreSharedInTokensAcrossTeams() {
@@ -123,22 +124,22 @@
 		endpoints(8, A);
 		this.broker.coldDetected(A);
 		for (int i = 0; i < 4; i++) {
-			assertThat(ask("in-" + i, i).size(), equalTo(1));
-			assertThat(ask("over-" + i, i), empty());
+			assertThat(requestSlot("in-" + i, i).size(), equalTo(1));
+			assertThat(requestSlot("over-" + i, i), empty());
 			this.broker.release("over-" + i, SlotOutcome.CANCELLED, i);
 			this.broker.release("in-" + i, SlotOutcome.COMPLETED, i);
 		}
-		assertThat(ask("x", 5).size(), equalTo(1));
-		assertThat(ask("y", 5).size(), equalTo(1));
-		assertThat(ask("z", 5), empty());
+		assertThat(requestSlot("x", 5).size(), equalTo(1));
+		assertThat(requestSlot("y", 5).size(), equalTo(1));
+		assertThat(requestSlot("z", 5), empty());
 	}
 
 	@Test
 	void absentEndpointCompletesItsStreamsAndGetsNothingNew() {
 		endpoints(2, A);
-		ask("1", 0);
+		requestSlot("1", 0);
 		this.broker.configure(List.of(), MILLI);
-		assertThat(ask("2", 1).get(0), instanceOf(SlotDecision.Refused.class));
+		assertThat(requestSlot("2", 1).get(0), instanceOf(SlotDecision.Refused.class));
 		assertThat(this.broker.held(A), equalTo(1));
 	}
 
@@ -148,10 +149,10 @@
 	@Test
 	void suspectRunsAloneOnItsEndpoint() {
 		endpoints(2, A);
-		ask("1", 0);
+		requestSlot("1", 0);
 		SlotRequest suspect = new SlotRequest("s", VM, TeamId.of("team"), 1, 100, 5_000 * MILLI, true, null, Set.of());
 		assertThat(this.broker.request(suspect, 0), empty());
-		assertThat(ask("2", 1), empty());
+		assertThat(requestSlot("2", 1), empty());
 		assertThat(this.broker.release("1", SlotOutcome.COMPLETED, 2 * MILLI), contains(granted("s", A)));
 		assertThat(this.broker.release("s", SlotOutcome.COMPLETED, 3 * MILLI), contains(granted("2", A)));
 	}
@@ -168,24 +169,24 @@
 	}
 
 	/**
-	 * Guards against an endpoint loaded twice over after a change of the owner, and
-	 * against slots that are never freed.
+	 * Guards against an endpoint that gets twice its load after a change of the owner,
+	 * and against slots that are never freed.
 	 */
 	@Test
 	void newOwnerRebuildsFromStreamLists() {
 		this.broker.configure(List.of(new Candidate(A, 2)), 0);
-		assertThat(ask("1", 0), empty());
+		assertThat(requestSlot("1", 0), empty());
 		ObservedStream old = new ObservedStream("old", VM);
 		assertThat(this.broker.observed(A, List.of(old), MILLI, 2 * MILLI), contains(granted("1", A)));
-		assertThat(ask("2", 3), empty());
+		assertThat(requestSlot("2", 3), empty());
 		assertThat(this.broker.observed(A, List.of(), 4 * MILLI, 5 * MILLI), contains(granted("2", A)));
 	}
 
 	@Test
 	void slotsOfFailedVmAreReclaimed() {
 		endpoints(2, A);
-		ask("1", 0);
-		ask("2", 0);
+		requestSlot("1", 0);
+		requestSlot("2", 0);
 		this.broker.observed(A, List.of(new ObservedStream("1", VM)), MILLI, MILLI);
 		this.broker.vmGone(VM, 2 * MILLI);
 		assertThat("the engine still runs the listed stream", this.broker.held(A), equalTo(1));
