--- a/core/src/main/java/org/banyanstile/core/routing/ColdStartDetector.java
+++ b/core/src/main/java/org/banyanstile/core/routing/ColdStartDetector.java
@@ -9,14 +9,14 @@
 public final class ColdStartDetector {
 
 	/**
-	 * Time per token over this multiple of its median means a cold start.
+	 * A time per token above this multiple of its median indicates a cold start.
 	 */
 	private static final int SLOW_FACTOR = 3;
 
 	/**
-	 * Answers after which the median estimate is used.
+	 * Number of responses after which the estimate of the median is used.
 	 */
-	private static final int WARM_UP = 16;
+	private static final int MIN_SAMPLES = 16;
 
 	private final Object lock = new Object();
 
@@ -46,7 +46,8 @@
 
 	/**
 	 * Records an accepted connection.
-	 * @return true if a cold start was detected, since the one before was refused
+	 * @return true if a cold start was detected, because the previous connection was
+	 * refused
 	 */
 	public boolean connectionAccepted() {
 		synchronized (this.lock) {
@@ -57,8 +58,8 @@
 	}
 
 	/**
-	 * Records the time per token of an answer. The median is estimated by steps of 2%, so
-	 * that a few slow answers do not shift it.
+	 * Records the time per token of a response. The estimate of the median changes in
+	 * steps of 2%, so that a few slow responses do not shift it.
 	 * @param nanosPerToken the mean time between tokens
 	 * @return true if a cold start was detected
 	 */
@@ -67,8 +68,8 @@
 			if (this.samples == 0) {
 				this.median = nanosPerToken;
 			}
-			boolean slow = this.samples >= WARM_UP && nanosPerToken > SLOW_FACTOR * this.median;
-			this.samples = Math.min(WARM_UP, this.samples + 1);
+			boolean slow = this.samples >= MIN_SAMPLES && nanosPerToken > SLOW_FACTOR * this.median;
+			this.samples = Math.min(MIN_SAMPLES, this.samples + 1);
 			this.median *= (nanosPerToken > this.median) ? 1.02 : 0.98;
 			return slow;
 		}
--- a/core/src/main/java/org/banyanstile/core/routing/ColdStartRamp.java
+++ b/core/src/main/java/org/banyanstile/core/routing/ColdStartRamp.java
@@ -1,8 +1,8 @@
 package org.banyanstile.core.routing;
 
 /**
- * Limit of concurrent requests at an endpoint in cold start, for the endpoint as a whole.
- * Not safe for use by several threads.
+ * Limit of concurrent requests at an endpoint in cold start, over all VMs. Not safe for
+ * use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/routing/CrashAttribution.java
+++ b/core/src/main/java/org/banyanstile/core/routing/CrashAttribution.java
@@ -12,20 +12,22 @@
 
 /**
  * Finds the request that crashes endpoints. Requests in flight at a crash become
- * suspects, a crash with a suspect alone on the endpoint is a verdict, and a success
- * clears the suspect. Safe for use by several threads.
+ * suspects. A suspect that runs alone on an endpoint which crashes gets a verdict, by
+ * which it is refused. A suspect that completes is cleared. Safe for use by several
+ * threads.
  *
  * @author banyanstile contributors
  */
 public final class CrashAttribution {
 
 	/**
-	 * Time for which a fingerprint is refused.
+	 * Time for which a fingerprint remains a suspect, or is refused after a verdict.
 	 */
 	public static final long VERDICT_NANOS = TimeUnit.MINUTES.toNanos(10);
 
 	/**
-	 * Bound on both tables, so that a caller who varies the body cannot exhaust memory.
+	 * Largest size of each of both tables, so that a caller who varies the body cannot
+	 * exhaust memory.
 	 */
 	private static final int MAX_ENTRIES = 10_000;
 
@@ -38,7 +40,7 @@
 	/**
 	 * Records the crash of an endpoint.
 	 * @param inFlight the requests in flight there
-	 * @param isolated whether the only one was run in isolation as a suspect
+	 * @param isolated whether the only request in flight was run alone as a suspect
 	 * @param now the current time in nanoseconds
 	 * @return the fingerprint that is refused from now on, to be sent to all VMs
 	 */
@@ -103,7 +105,7 @@
 	}
 
 	/**
-	 * Returns the verdicts in force, for a VM that starts.
+	 * Returns the verdicts in force, to be sent to a VM that starts.
 	 * @param now the current time in nanoseconds
 	 * @return the remaining time in nanoseconds by fingerprint
 	 */
--- a/core/src/main/java/org/banyanstile/core/routing/LaggingLoad.java
+++ b/core/src/main/java/org/banyanstile/core/routing/LaggingLoad.java
@@ -7,8 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Load of endpoints as one VM knows it: the last reports and its own requests. Safe for
- * use by several threads.
+ * Load of endpoints as estimated by one VM from the last load reports and its own
+ * requests. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
@@ -21,7 +21,7 @@
 	/**
 	 * Records a load report.
 	 * @param endpoint the endpoint
-	 * @param report the report, ignored if it is older than the last one
+	 * @param report the report, ignored if it is older than the last report
 	 */
 	public void reported(EndpointId endpoint, LoadReport report) {
 		synchronized (this.lock) {
@@ -70,8 +70,8 @@
 	/**
 	 * Returns the estimated number of running requests of all VMs.
 	 * @param endpoint the endpoint
-	 * @return the last report and the own requests started since, or the own requests if
-	 * that is more
+	 * @return the requests of the last report and those that this VM started since, or
+	 * all requests of this VM if these are more
 	 */
 	public int estimate(EndpointId endpoint) {
 		synchronized (this.lock) {
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Forgets an endpoint that left the configuration.
+	 * Removes an endpoint that is no longer configured.
 	 * @param endpoint the endpoint
 	 */
 	public void removed(EndpointId endpoint) {
--- a/core/src/main/java/org/banyanstile/core/routing/LoadReport.java
+++ b/core/src/main/java/org/banyanstile/core/routing/LoadReport.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.routing;
 
 /**
- * Load that an endpoint reported, with a lag.
+ * Load that an endpoint reported some time ago.
  *
  * @param active the running requests
  * @param capacity the capacity
--- a/core/src/main/java/org/banyanstile/core/routing/PrefillChoice.java
+++ b/core/src/main/java/org/banyanstile/core/routing/PrefillChoice.java
@@ -9,8 +9,8 @@
 import org.banyanstile.core.common.EndpointId;
 
 /**
- * Chooses a prefill endpoint by the prompt tokens that this VM has pending there and the
- * reported requests. Safe for use by several threads if the random generator is.
+ * Chooses a prefill endpoint by the pending prompt tokens of this VM and the reported
+ * requests of other VMs. Safe for use by several threads if the random generator is.
  *
  * @author banyanstile contributors
  */
@@ -24,17 +24,17 @@
 
 	private final RandomGenerator random;
 
-	private final long tokensPerReport;
+	private final long tokensPerRequest;
 
-	private PrefillChoice(LaggingLoad load, RandomGenerator random, long tokensPerReport) {
+	private PrefillChoice(LaggingLoad load, RandomGenerator random, long tokensPerRequest) {
 		this.load = load;
 		this.random = random;
-		this.tokensPerReport = tokensPerReport;
+		this.tokensPerRequest = tokensPerRequest;
 	}
 
 	/**
 	 * Creates the choice.
-	 * @param load the load as this VM knows it
+	 * @param load the estimated load of the endpoints
 	 * @param random the source of random numbers
 	 * @param tokensPerRequest the mean prompt tokens, for requests of other VMs
 	 * @return the choice
@@ -45,21 +45,21 @@
 
 	/**
 	 * Chooses an endpoint and counts the prompt as pending there.
-	 * @param near the endpoints in the data centre of the decode endpoint, preferred
+	 * @param local the endpoints in the data centre of the decode endpoint, preferred
 	 * because transfers share links of limited bandwidth
-	 * @param far all other endpoints, used if there is none near
+	 * @param remote all other endpoints, used if there is no local one
 	 * @param promptTokens the tokens of the prompt
 	 * @return the endpoint, empty if there is none
 	 */
-	public Optional<EndpointId> choose(List<Candidate> near, List<Candidate> far, long promptTokens) {
-		List<Candidate> from = near.isEmpty() ? far : near;
+	public Optional<EndpointId> choose(List<Candidate> local, List<Candidate> remote, long promptTokens) {
+		List<Candidate> from = local.isEmpty() ? remote : local;
 		if (from.isEmpty()) {
 			return Optional.empty();
 		}
 		EndpointId first = from.get(this.random.nextInt(from.size())).endpoint();
 		EndpointId second = from.get(this.random.nextInt(from.size())).endpoint();
 		synchronized (this.lock) {
-			EndpointId chosen = (work(second) < work(first)) ? second : first;
+			EndpointId chosen = (estimatedTokens(second) < estimatedTokens(first)) ? second : first;
 			this.pending.merge(chosen, promptTokens, Long::sum);
 			this.load.started(chosen);
 			return Optional.of(chosen);
@@ -79,9 +79,9 @@
 		}
 	}
 
-	private long work(EndpointId endpoint) {
+	private long estimatedTokens(EndpointId endpoint) {
 		long others = Math.max(0, this.load.estimate(endpoint) - this.load.own(endpoint));
-		return this.pending.getOrDefault(endpoint, 0L) + others * this.tokensPerReport;
+		return this.pending.getOrDefault(endpoint, 0L) + others * this.tokensPerRequest;
 	}
 
 }
--- a/core/src/main/java/org/banyanstile/core/routing/TwoChoices.java
+++ b/core/src/main/java/org/banyanstile/core/routing/TwoChoices.java
@@ -8,8 +8,9 @@
 import org.banyanstile.core.common.EndpointId;
 
 /**
- * Chooses the less loaded of two random endpoints, with a cap for each VM. Used while a
- * pool has no owner. Safe for use by several threads if the random generator is.
+ * Chooses the less loaded of two random endpoints, with a limit of requests for each VM.
+ * Used while a pool has no owner. Safe for use by several threads if the random generator
+ * is.
  *
  * @author banyanstile contributors
  */
@@ -26,7 +27,7 @@
 
 	/**
 	 * Creates the choice.
-	 * @param load the load as this VM knows it
+	 * @param load the estimated load of the endpoints
 	 * @param random the source of random numbers
 	 * @return the choice
 	 */
@@ -60,9 +61,10 @@
 	}
 
 	/**
-	 * Returns how many requests a VM may run at an endpoint without asking its owner: the
-	 * capacity divided by the VMs, the remainder going to a part of them that depends on
-	 * the endpoint. The caps of all VMs add up to the capacity.
+	 * Returns how many requests a VM may run at an endpoint without asking the owner of
+	 * the pool: the capacity divided by the number of VMs. The remainder goes to a part
+	 * of the VMs that depends on the endpoint. The caps of all VMs add up to the
+	 * capacity.
 	 * @param candidate the endpoint
 	 * @param vmIndex the index of the VM among the live VMs, from 0
 	 * @param vms the number of live VMs
--- a/core/src/main/java/org/banyanstile/core/routing/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/routing/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Endpoint choice, cold-start ramp and attribution of endpoint crashes.
+ * Choice of endpoints, cold-start detection and ramp, and attribution of endpoint
+ * crashes.
  */
 @NullMarked
 package org.banyanstile.core.routing;
--- a/core/src/test/java/org/banyanstile/core/routing/RoutingTests.java
+++ b/core/src/test/java/org/banyanstile/core/routing/RoutingTests.java
@@ -83,12 +83,12 @@
 	}
 
 	@Test
-	void prefillGoesNearAndToTheLeastPendingTokens() {
+	void prefillPrefersLocalEndpointsWithTheFewestPendingTokens() {
 		PrefillChoice choice = PrefillChoice.create(new LaggingLoad(), new Random(1), 1000);
-		Candidate near = new Candidate(EndpointId.of("near"), 20);
-		Candidate far = new Candidate(EndpointId.of("far"), 20);
-		assertThat(choice.choose(List.of(near), List.of(far), 100).orElseThrow(), equalTo(near.endpoint()));
-		assertThat(choice.choose(List.of(), List.of(far), 100).orElseThrow(), equalTo(far.endpoint()));
+		Candidate local = new Candidate(EndpointId.of("near"), 20);
+		Candidate remote = new Candidate(EndpointId.of("far"), 20);
+		assertThat(choice.choose(List.of(local), List.of(remote), 100).orElseThrow(), equalTo(local.endpoint()));
+		assertThat(choice.choose(List.of(), List.of(remote), 100).orElseThrow(), equalTo(remote.endpoint()));
 		assertThat(choice.choose(List.of(), List.of(), 100).isPresent(), is(false));
 	}
 
