--- a/core/src/main/java/org/banyanstile/core/catalog/CallKind.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/CallKind.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.catalog;
 
 /**
- * What may be repeated.
+ * Whether a request may run more than once.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/catalog/Catalog.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/Catalog.java
@@ -25,17 +25,17 @@
 
 	private final Map<String, TeamPolicy> teamsByKey;
 
-	private final boolean keyed;
+	private final boolean keyRequired;
 
 	private final long maxBodyBytes;
 
 	private Catalog(long version, Map<String, List<ServedRoute>> routesByHost, Map<String, ServedService> services,
-			Map<String, TeamPolicy> teamsByKey, boolean keyed, long maxBodyBytes) {
+			Map<String, TeamPolicy> teamsByKey, boolean keyRequired, long maxBodyBytes) {
 		this.version = version;
 		this.routesByHost = routesByHost;
 		this.services = services;
 		this.teamsByKey = teamsByKey;
-		this.keyed = keyed;
+		this.keyRequired = keyRequired;
 		this.maxBodyBytes = maxBodyBytes;
 	}
 
@@ -45,12 +45,12 @@
 	 * @param routes the routes
 	 * @param services the services
 	 * @param teamsByKey teams by API key
-	 * @param keyed whether requests need a key
+	 * @param keyRequired whether requests need an API key
 	 * @param maxBodyBytes largest request body
 	 * @return the catalog
 	 */
 	public static Catalog of(long version, Collection<ServedRoute> routes, Collection<ServedService> services,
-			Map<String, TeamPolicy> teamsByKey, boolean keyed, long maxBodyBytes) {
+			Map<String, TeamPolicy> teamsByKey, boolean keyRequired, long maxBodyBytes) {
 		Map<String, List<ServedRoute>> byHost = new HashMap<>();
 		Comparator<ServedRoute> longestFirst = Comparator.comparingInt((ServedRoute route) -> route.prefix().length())
 			.reversed();
@@ -59,7 +59,7 @@
 			.forEach((route) -> byHost.computeIfAbsent(route.host(), (host) -> new ArrayList<>()).add(route));
 		Map<String, ServedService> byName = new HashMap<>();
 		services.forEach((service) -> byName.put(service.name(), service));
-		return new Catalog(version, byHost, byName, Map.copyOf(teamsByKey), keyed, maxBodyBytes);
+		return new Catalog(version, byHost, byName, Map.copyOf(teamsByKey), keyRequired, maxBodyBytes);
 	}
 
 	/**
@@ -103,9 +103,9 @@
 	}
 
 	/**
-	 * Finds the team that holds a key.
+	 * Finds the team of an API key.
 	 * @param key the API key
-	 * @return the team, or {@code null} if no team holds it
+	 * @return the team, or {@code null} if no team has the key
 	 */
 	public @Nullable TeamPolicy team(String key) {
 		return this.teamsByKey.get(key);
@@ -120,11 +120,11 @@
 	}
 
 	/**
-	 * Returns whether requests need a key.
+	 * Returns whether requests need an API key.
 	 * @return whether they do
 	 */
 	public boolean isKeyed() {
-		return this.keyed;
+		return this.keyRequired;
 	}
 
 	/**
--- a/core/src/main/java/org/banyanstile/core/catalog/EndpointPhase.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/EndpointPhase.java
@@ -1,7 +1,7 @@
 package org.banyanstile.core.catalog;
 
 /**
- * Part that an endpoint plays.
+ * Role of an endpoint.
  *
  * @author banyanstile contributors
  */
@@ -13,7 +13,7 @@
 	PLAIN,
 
 	/**
-	 * An engine that reads prompts and hands on their KV cache.
+	 * An engine that processes prompts and transfers their KV cache to decode engines.
 	 */
 	PREFILL,
 
--- a/core/src/main/java/org/banyanstile/core/catalog/RegisteredEndpoint.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/RegisteredEndpoint.java
@@ -1,16 +1,16 @@
 package org.banyanstile.core.catalog;
 
 /**
- * What an endpoint says of itself.
+ * Registration of an endpoint, as written by the endpoint itself.
  *
  * @param id id of this incarnation
  * @param service name of its service
  * @param address address as {@code ip:port}
  * @param dataCentre its data centre
- * @param phase its part
+ * @param phase its role
  * @param ready whether it takes new work; {@code false} while it drains
- * @param capacity requests that it runs at once
- * @param coldMillis how much longer it was cold when it wrote this
+ * @param capacity number of requests that it runs at once
+ * @param coldMillis remaining time of its cold start when it wrote the registration
  * @author banyanstile contributors
  */
 public record RegisteredEndpoint(String id, String service, String address, String dataCentre, EndpointPhase phase,
--- a/core/src/main/java/org/banyanstile/core/catalog/ServedRoute.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/ServedRoute.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * A route of callers to a service.
+ * A route from callers to services.
  *
  * @param name name of the route
  * @param host host name that selects it
  * @param prefix path prefix that selects it, which begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis longest time until the final answer
- * @param objectiveMillis time within which an answer is worth most
+ * @param kind whether a request may run more than once
+ * @param timeoutMillis longest time until the final response
+ * @param objectiveMillis latency objective, the time within which a response is worth
+ * most
  * @param priority rank, 0 for the most urgent
  * @param services services that share its requests by weight
  * @param maxAttempts largest number of endpoints that one attempt of a caller may run on
- * @param anonymous whether a request needs no key
- * @param resumable whether a stream may go on at another endpoint
+ * @param anonymous whether a request needs no API key
+ * @param resumable whether a stream may fail over to another endpoint
  * @param maxPauseMillis longest pause between events of a stream that is on time, 0 if
  * not given
  * @author banyanstile contributors
@@ -25,7 +26,7 @@
 		boolean resumable, long maxPauseMillis) {
 
 	/**
-	 * Returns whether a request may run again after it may have run.
+	 * Returns whether a request may be retried although an earlier attempt may have run.
 	 * @return whether it may
 	 */
 	public boolean isRepeatable() {
@@ -33,16 +34,16 @@
 	}
 
 	/**
-	 * Chooses a service of the split.
+	 * Chooses a service of the traffic split.
 	 * @param point a number from 0, inclusive, to 1, exclusive
 	 * @return name of the service
 	 */
 	public String service(double point) {
 		int sum = this.services.stream().mapToInt(WeightedService::weight).sum();
-		double left = point * sum;
+		double remaining = point * sum;
 		for (WeightedService branch : this.services) {
-			left -= branch.weight();
-			if (left < 0) {
+			remaining -= branch.weight();
+			if (remaining < 0) {
 				return branch.service();
 			}
 		}
--- a/core/src/main/java/org/banyanstile/core/catalog/ServedService.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/ServedService.java
@@ -7,9 +7,10 @@
  *
  * @param name name of the service
  * @param healthPath path of the health check
- * @param maxConnections connections that one endpoint accepts from all VMs
- * @param coldMillis how long an endpoint is cold after its start, 0 for never
- * @param coldPerSecond requests a second that a cold endpoint can take
+ * @param maxConnections number of connections that one endpoint accepts from all VMs
+ * together
+ * @param coldMillis duration of the cold start of an endpoint, 0 for none
+ * @param coldPerSecond requests per second that a cold endpoint can take
  * @param engine traits of its engines, {@code null} for a plain service
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/catalog/package-info.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Routes, services, teams and engines as one version of the configuration names them.
+ * Routes, services, teams and engines of one version of the configuration.
  */
 @NullMarked
 package org.banyanstile.core.catalog;
