--- a/core/src/main/java/org/banyanstile/core/catalog/EndpointPhase.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/EndpointPhase.java
@@ -13,7 +13,7 @@
 	PLAIN,
 
 	/**
-	 * An engine that processes prompts and transfers their KV cache to decode engines.
+	 * An engine that processes prompts and provides their KV cache to decode engines.
 	 */
 	PREFILL,
 
