--- a/benchmark/src/main/java/org/banyanstile/benchmark/GossipSlopes.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/GossipSlopes.java
@@ -8,9 +8,9 @@
 import org.banyanstile.core.limit.SharedQuota;
 import org.banyanstile.io.frame.Message;
 import org.banyanstile.io.frame.MessageCodec;
-import org.banyanstile.server.gossip.GossipChange;
 import org.banyanstile.server.gossip.GossipLoad;
 import org.banyanstile.server.gossip.GossipMember;
+import org.banyanstile.server.gossip.GossipRoleChange;
 import org.banyanstile.server.gossip.GossipState;
 import org.banyanstile.server.gossip.GossipUse;
 import org.banyanstile.server.gossip.Membership;
@@ -59,7 +59,7 @@
 			.registerNested(GossipMember.class)
 			.registerNested(GossipLoad.class)
 			.registerNested(GossipUse.class)
-			.registerNested(GossipChange.class)
+			.registerNested(GossipRoleChange.class)
 			.register(GossipState.class);
 		List<GossipMember> members = IntStream.range(1, vms).mapToObj((vm) -> member(vm, 1)).toList();
 		Membership membership = Membership.of(member(vms, 0));
--- a/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
@@ -229,7 +229,7 @@
 	 * @param now the current time in nanoseconds
 	 * @return the decisions that follow
 	 */
-	public List<SlotDecision> vmGone(VmId vm, long now) {
+	public List<SlotDecision> vmRemoved(VmId vm, long now) {
 		synchronized (this.lock) {
 			this.suspects.values().removeIf((waiting) -> waiting.request().holder().equals(vm));
 			this.queue.removeIf((waiting) -> waiting.request().holder().equals(vm));
--- a/core/src/main/java/org/banyanstile/core/catalog/Catalog.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/Catalog.java
@@ -123,7 +123,7 @@
 	 * Returns whether requests need an API key.
 	 * @return whether they do
 	 */
-	public boolean isKeyed() {
+	public boolean isKeyRequired() {
 		return this.keyRequired;
 	}
 
--- a/core/src/main/java/org/banyanstile/core/catalog/EndpointPhase.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/EndpointRole.java
@@ -5,7 +5,7 @@
  *
  * @author banyanstile contributors
  */
-public enum EndpointPhase {
+public enum EndpointRole {
 
 	/**
 	 * An endpoint of a plain service.
--- a/core/src/main/java/org/banyanstile/core/catalog/RegisteredEndpoint.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/RegisteredEndpoint.java
@@ -7,13 +7,13 @@
  * @param service name of its service
  * @param address address as {@code ip:port}
  * @param dataCentre its data centre
- * @param phase its role
+ * @param role its role
  * @param ready whether it takes new work; {@code false} while it drains
  * @param capacity number of requests that it runs at once
  * @param coldMillis remaining time of its cold start when it wrote the registration
  * @author banyanstile contributors
  */
-public record RegisteredEndpoint(String id, String service, String address, String dataCentre, EndpointPhase phase,
+public record RegisteredEndpoint(String id, String service, String address, String dataCentre, EndpointRole role,
 		boolean ready, int capacity, long coldMillis) {
 
 }
--- a/core/src/main/java/org/banyanstile/core/catalog/ServedRoute.java
+++ b/core/src/main/java/org/banyanstile/core/catalog/ServedRoute.java
@@ -29,7 +29,7 @@
 	 * Returns whether a request may be retried although an earlier attempt may have run.
 	 * @return whether it may
 	 */
-	public boolean isRepeatable() {
+	public boolean isRetryable() {
 		return this.kind == CallKind.IDEMPOTENT || (this.kind == CallKind.STREAM && this.resumable);
 	}
 
--- a/core/src/main/java/org/banyanstile/core/lease/OrderTurn.java
+++ b/core/src/main/java/org/banyanstile/core/lease/RoleChangeOwnership.java
@@ -9,7 +9,7 @@
  *
  * @author banyanstile contributors
  */
-public final class OrderTurn {
+public final class RoleChangeOwnership {
 
 	/**
 	 * Time for which a write permits orders, measured from before the write was sent.
@@ -35,7 +35,7 @@
 
 	private long token = -1;
 
-	private OrderTurn(String vm) {
+	private RoleChangeOwnership(String vm) {
 		this.vm = vm;
 	}
 
@@ -44,8 +44,8 @@
 	 * @param vm name of this VM
 	 * @return the state
 	 */
-	public static OrderTurn of(String vm) {
-		return new OrderTurn(vm);
+	public static RoleChangeOwnership of(String vm) {
+		return new RoleChangeOwnership(vm);
 	}
 
 	/**
--- a/core/src/main/java/org/banyanstile/core/lease/VmCoordinator.java
+++ b/core/src/main/java/org/banyanstile/core/lease/VmCoordinator.java
@@ -214,7 +214,7 @@
 	 * of the receiver
 	 * @return the heartbeat
 	 */
-	public Heartbeat address(Heartbeat round, VmId receiver, boolean floorsSuspended) {
+	public Heartbeat completeHeartbeat(Heartbeat round, VmId receiver, boolean floorsSuspended) {
 		return new Heartbeat(round.vm(), round.slot(), round.epoch(), round.configVersion(), round.storeAgeMillis(),
 				round.state(), floorsSuspended, round.sequence(), this.peers.echoFor(receiver));
 	}
--- a/core/src/main/java/org/banyanstile/core/limit/RetryShare.java
+++ b/core/src/main/java/org/banyanstile/core/limit/RetryShare.java
@@ -54,7 +54,7 @@
 	 * @param now the current time in nanoseconds
 	 * @return whether the retry is allowed
 	 */
-	public boolean tryRepeat(double ratio, double extra, int vms, long now) {
+	public boolean tryRetry(double ratio, double extra, int vms, long now) {
 		trim(now);
 		double allowed = USED_PART * (ratio * this.requests.size() + extra / Math.max(1, vms));
 		if (this.retries.size() + 1 > allowed) {
--- a/core/src/main/java/org/banyanstile/core/placement/AdmissionLine.java
+++ b/core/src/main/java/org/banyanstile/core/placement/AdmissionQueue.java
@@ -14,7 +14,7 @@
  *
  * @author banyanstile contributors
  */
-public final class AdmissionLine {
+public final class AdmissionQueue {
 
 	private final int maxReserving;
 
@@ -25,7 +25,7 @@
 
 	private long nextNumber;
 
-	private AdmissionLine(int maxReserving) {
+	private AdmissionQueue(int maxReserving) {
 		this.maxReserving = maxReserving;
 	}
 
@@ -34,8 +34,8 @@
 	 * @param maxReserving how many requests may try to reserve memory at once
 	 * @return the queue
 	 */
-	public static AdmissionLine create(int maxReserving) {
-		return new AdmissionLine(maxReserving);
+	public static AdmissionQueue create(int maxReserving) {
+		return new AdmissionQueue(maxReserving);
 	}
 
 	/**
@@ -45,7 +45,7 @@
 	 * @param size tokens that the request needs
 	 * @return the ticket
 	 */
-	public synchronized Ticket join(boolean late, int priority, long size) {
+	public synchronized Ticket add(boolean late, int priority, long size) {
 		Ticket ticket = new Ticket(late, priority, late ? 0 : size, this.nextNumber++);
 		this.tickets.add(ticket);
 		return ticket;
@@ -56,7 +56,7 @@
 	 * @param ticket its ticket
 	 * @return the new ticket
 	 */
-	public synchronized Ticket fallBehind(Ticket ticket) {
+	public synchronized Ticket markLate(Ticket ticket) {
 		this.tickets.remove(ticket);
 		Ticket later = new Ticket(true, ticket.priority(), 0, ticket.number());
 		this.tickets.add(later);
@@ -68,7 +68,7 @@
 	 * Removes a request from the queue.
 	 * @param ticket the ticket
 	 */
-	public synchronized void leave(Ticket ticket) {
+	public synchronized void remove(Ticket ticket) {
 		this.tickets.remove(ticket);
 		notifyAll();
 	}
@@ -78,7 +78,7 @@
 	 * @param ticket its ticket
 	 * @return whether it may
 	 */
-	public synchronized boolean isTurn(Ticket ticket) {
+	public synchronized boolean mayReserve(Ticket ticket) {
 		return this.tickets.headSet(ticket).size() < this.maxReserving;
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/PromptReader.java
+++ b/core/src/main/java/org/banyanstile/core/placement/PrefillPlacement.java
@@ -9,7 +9,7 @@
  *
  * @author banyanstile contributors
  */
-public final class PromptReader {
+public final class PrefillPlacement {
 
 	/**
 	 * Ratio of the tokens queued at the least loaded prefill engine to those of the
@@ -24,7 +24,7 @@
 	 */
 	static final long SHORT_QUEUE_TOKENS = 1000;
 
-	private PromptReader() {
+	private PrefillPlacement() {
 	}
 
 	/**
@@ -33,7 +33,7 @@
 	 * @param queuedTokens tokens queued at the least loaded prefill engine
 	 * @return whether a prefill engine should process it
 	 */
-	public static boolean isReadApart(long promptTokens, long queuedTokens) {
+	public static boolean usesPrefillEngine(long promptTokens, long queuedTokens) {
 		return queuedTokens <= Math.max(SHORT_QUEUE_TOKENS, MAX_QUEUE_RATIO * promptTokens);
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/RoleBalance.java
+++ b/core/src/main/java/org/banyanstile/core/placement/RoleBalance.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
@@ -15,7 +15,7 @@
  * engines. Decode memory is the scarce resource: the memory of prefill engines is not
  * available to generations, and prefill takes far less of an engine's time than
  * generation takes of its memory. So there are few prefill engines, and a decode engine
- * prefills a prompt itself while they are busy, see {@link PromptReader}.
+ * prefills a prompt itself while they are busy, see {@link PrefillPlacement}.
  *
  * @author banyanstile contributors
  */
@@ -55,17 +55,17 @@
 	 * first
 	 * @return the role changes, empty if the roles are balanced
 	 */
-	public static List<RoleChange> plan(List<RegisteredEndpoint> engines, Map<String, EndpointPhase> changing,
+	public static List<RoleChange> plan(List<RegisteredEndpoint> engines, Map<String, EndpointRole> changing,
 			ToLongFunction<String> load) {
 		int prefill = 0;
 		for (RegisteredEndpoint engine : engines) {
-			prefill += (changing.getOrDefault(engine.id(), engine.phase()) == EndpointPhase.PREFILL) ? 1 : 0;
+			prefill += (changing.getOrDefault(engine.id(), engine.role()) == EndpointRole.PREFILL) ? 1 : 0;
 		}
 		int surplus = prefill - prefillTarget(engines.size());
-		EndpointPhase from = (surplus > 0) ? EndpointPhase.PREFILL : EndpointPhase.DECODE;
-		EndpointPhase to = (surplus > 0) ? EndpointPhase.DECODE : EndpointPhase.PREFILL;
+		EndpointRole from = (surplus > 0) ? EndpointRole.PREFILL : EndpointRole.DECODE;
+		EndpointRole to = (surplus > 0) ? EndpointRole.DECODE : EndpointRole.PREFILL;
 		List<RegisteredEndpoint> candidates = new ArrayList<>(engines.stream()
-			.filter((engine) -> engine.phase() == from && !changing.containsKey(engine.id()))
+			.filter((engine) -> engine.role() == from && !changing.containsKey(engine.id()))
 			.toList());
 		List<RoleChange> changes = new ArrayList<>();
 		int wanted = Math.min(Math.abs(surplus), MAX_ORDERS_PER_ROUND);
@@ -93,10 +93,10 @@
 	 * A role change.
 	 *
 	 * @param engine the engine
-	 * @param phase its new role
+	 * @param role its new role
 	 * @author banyanstile contributors
 	 */
-	public record RoleChange(RegisteredEndpoint engine, EndpointPhase phase) {
+	public record RoleChange(RegisteredEndpoint engine, EndpointRole role) {
 
 	}
 
--- a/core/src/main/java/org/banyanstile/core/placement/PhaseChanges.java
+++ b/core/src/main/java/org/banyanstile/core/placement/RoleChanges.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
@@ -17,7 +17,7 @@
  *
  * @author banyanstile contributors
  */
-public final class PhaseChanges {
+public final class RoleChanges {
 
 	/**
 	 * A report with less remaining time is ignored, so that two VMs do not keep a
@@ -33,7 +33,7 @@
 	 * @param role its new role
 	 * @param until time in nanoseconds after which the order counts as lost
 	 */
-	public synchronized void begin(String endpoint, EndpointPhase role, long until) {
+	public synchronized void begin(String endpoint, EndpointRole role, long until) {
 		this.changes.put(endpoint, new Change(role, until));
 	}
 
@@ -44,9 +44,9 @@
 	 */
 	public synchronized void report(List<Report> reports, long now) {
 		for (Report report : reports) {
-			long until = now + TimeUnit.MILLISECONDS.toNanos(report.leftMillis());
-			if (report.leftMillis() >= MIN_REPORTED_MILLIS && !this.changes.containsKey(report.endpoint())) {
-				this.changes.put(report.endpoint(), new Change(report.phase(), until));
+			long until = now + TimeUnit.MILLISECONDS.toNanos(report.remainingMillis());
+			if (report.remainingMillis() >= MIN_REPORTED_MILLIS && !this.changes.containsKey(report.endpoint())) {
+				this.changes.put(report.endpoint(), new Change(report.role(), until));
 			}
 		}
 	}
@@ -72,18 +72,18 @@
 	 */
 	public synchronized boolean isChanging(RegisteredEndpoint engine, long now) {
 		Change change = this.changes.get(engine.id());
-		return change != null && now - change.until() < 0 && change.role() != engine.phase();
+		return change != null && now - change.until() < 0 && change.role() != engine.role();
 	}
 
 	/**
 	 * A change in progress, as reported to other VMs.
 	 *
 	 * @param endpoint id of the engine
-	 * @param phase its new role
-	 * @param leftMillis time in milliseconds after which the order counts as lost
+	 * @param role its new role
+	 * @param remainingMillis time in milliseconds after which the order counts as lost
 	 * @author banyanstile contributors
 	 */
-	public record Report(String endpoint, EndpointPhase phase, long leftMillis) {
+	public record Report(String endpoint, EndpointRole role, long remainingMillis) {
 
 	}
 
@@ -94,7 +94,7 @@
 	 * @param until time in nanoseconds after which the order counts as lost
 	 * @author banyanstile contributors
 	 */
-	private record Change(EndpointPhase role, long until) {
+	private record Change(EndpointRole role, long until) {
 
 	}
 
--- a/core/src/main/java/org/banyanstile/core/replica/TableReplica.java
+++ b/core/src/main/java/org/banyanstile/core/replica/TableReplica.java
@@ -152,13 +152,14 @@
 	 * @param version the version
 	 * @return whether they are
 	 */
-	public boolean remembers(long version) {
+	public boolean retainsChangesAfter(long version) {
 		return version >= this.discardedVersion && version >= 0;
 	}
 
 	/**
 	 * Returns the changes after a version.
-	 * @param version a version for which {@link #remembers(long)} returned {@code true}
+	 * @param version a version for which {@link #retainsChangesAfter(long)} returned
+	 * {@code true}
 	 * @return changed and removed rows
 	 */
 	public List<ReplicaRow> changesAfter(long version) {
--- a/core/src/test/java/org/banyanstile/core/admission/SlotBrokerTests.java
+++ b/core/src/test/java/org/banyanstile/core/admission/SlotBrokerTests.java
@@ -188,7 +188,7 @@
 		requestSlot("1", 0);
 		requestSlot("2", 0);
 		this.broker.observed(A, List.of(new ObservedStream("1", VM)), MILLI, MILLI);
-		this.broker.vmGone(VM, 2 * MILLI);
+		this.broker.vmRemoved(VM, 2 * MILLI);
 		assertThat("the engine still runs the listed stream", this.broker.held(A), equalTo(1));
 		this.broker.tick(16_000 * MILLI);
 		assertThat(this.broker.held(A), equalTo(0));
--- a/core/src/test/java/org/banyanstile/core/lease/RoleChangeOwnershipTests.java
+++ b/core/src/test/java/org/banyanstile/core/lease/RoleChangeOwnershipTests.java
@@ -11,7 +11,7 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Tests for {@link OrderTurn}.
+ * Tests for {@link RoleChangeOwnership}.
  *
  * @author banyanstile contributors
  */
@@ -26,14 +26,14 @@
 
 	@Test
 	void missingRowMayBeWrittenAtOnce() {
-		OrderTurn ownership = OrderTurn.of("a");
+		RoleChangeOwnership ownership = RoleChangeOwnership.of("a");
 		ownership.read(0, "", 0);
 		assertThat(ownership.mayWrite(0), is(true));
 	}
 
 	@Test
 	void rowOfAnotherVmIsTakenOverOnlyAfterFiveSecondsWithoutAChange() {
-		OrderTurn ownership = OrderTurn.of("a");
+		RoleChangeOwnership ownership = RoleChangeOwnership.of("a");
 		ownership.read(5, "b", 0);
 		assertThat(ownership.mayWrite(4999 * MILLI), is(false));
 		ownership.read(6, "b", 4999 * MILLI);
@@ -43,7 +43,7 @@
 
 	@Test
 	void tokenExpiresUnlessTheRowIsWritten() {
-		OrderTurn ownership = OrderTurn.of("a");
+		RoleChangeOwnership ownership = RoleChangeOwnership.of("a");
 		ownership.written(7, 0);
 		assertThat(ownership.token(999 * MILLI), is(7L));
 		assertThat(ownership.token(1000 * MILLI), is(-1L));
@@ -68,14 +68,15 @@
 	// and responses of the store take up to 900 ms.
 	private static List<long[]> simulate(Random random) {
 		List<long[]> orders = new ArrayList<>();
-		OrderTurn[] ownerships = { OrderTurn.of("vm0"), OrderTurn.of("vm1"), OrderTurn.of("vm2") };
+		RoleChangeOwnership[] ownerships = { RoleChangeOwnership.of("vm0"), RoleChangeOwnership.of("vm1"),
+				RoleChangeOwnership.of("vm2") };
 		long version = 0;
 		String owner = "";
 		long now = 0;
 		for (int step = 0; step < 120; step++) {
 			now += random.nextInt(700) * MILLI;
 			int i = random.nextInt(ownerships.length);
-			OrderTurn ownership = ownerships[i];
+			RoleChangeOwnership ownership = ownerships[i];
 			ownership.read(version, owner, now);
 			if (!ownership.mayWrite(now)) {
 				continue;
--- a/core/src/test/java/org/banyanstile/core/lease/VirtualFleet.java
+++ b/core/src/test/java/org/banyanstile/core/lease/VirtualFleet.java
@@ -221,7 +221,7 @@
 			var round = this.vm.beginHeartbeats(clock());
 			for (Node peer : VirtualFleet.this.nodes.values()) {
 				if (peer != this && !this.isolatedFromPeers && !peer.isolatedFromPeers) {
-					var heartbeat = this.vm.address(round, VmId.of(peer.name), true);
+					var heartbeat = this.vm.completeHeartbeat(round, VmId.of(peer.name), true);
 					long delay = VirtualFleet.this.heartbeatDelay
 							+ SECOND / 1000 * (1 + VirtualFleet.this.random.nextInt(20));
 					at(VirtualFleet.this.now + delay,
--- a/core/src/test/java/org/banyanstile/core/limit/RetryShareTests.java
+++ b/core/src/test/java/org/banyanstile/core/limit/RetryShareTests.java
@@ -31,7 +31,7 @@
 			long now = i * SECOND / 50;
 			share.request(now);
 			for (int k = 0; k < 5; k++) {
-				retries += share.tryRepeat(0.2, 56, vms, now) ? 1 : 0;
+				retries += share.tryRetry(0.2, 56, vms, now) ? 1 : 0;
 			}
 		}
 		assertThat((double) retries, is(lessThanOrEqualTo(0.2 * 400 + 56)));
@@ -39,15 +39,15 @@
 
 	@Test
 	void oneVmMayRetryAtOnceFromTheFixedExtra() {
-		assertThat(RetryShare.create(10 * SECOND).tryRepeat(0.2, 56, 8, 0), is(true));
+		assertThat(RetryShare.create(10 * SECOND).tryRetry(0.2, 56, 8, 0), is(true));
 	}
 
 	@Test
 	void retriesOfAnEarlierWindowDoNotCount() {
 		RetryShare share = RetryShare.create(10 * SECOND);
-		assertThat(share.tryRepeat(0, 2, 1, 0), is(true));
-		assertThat(share.tryRepeat(0, 2, 1, SECOND), is(false));
-		assertThat(share.tryRepeat(0, 2, 1, 11 * SECOND), is(true));
+		assertThat(share.tryRetry(0, 2, 1, 0), is(true));
+		assertThat(share.tryRetry(0, 2, 1, SECOND), is(false));
+		assertThat(share.tryRetry(0, 2, 1, 11 * SECOND), is(true));
 	}
 
 }
--- a/core/src/test/java/org/banyanstile/core/placement/AdmissionLoadTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/AdmissionLoadTests.java
@@ -14,7 +14,7 @@
 
 /**
  * Simulates a burst that needs almost twice the available decode memory, and compares the
- * service that callers get from {@link AdmissionLine} with that of a queue in order of
+ * service that callers get from {@link AdmissionQueue} with that of a queue in order of
  * arrival.
  *
  * @author banyanstile contributors
@@ -64,7 +64,7 @@
 
 	private static List<Job> simulate(int seed, boolean bySize) {
 		Random random = new Random(seed);
-		AdmissionLine queue = AdmissionLine.create(2);
+		AdmissionQueue queue = AdmissionQueue.create(2);
 		List<Job> jobs = new ArrayList<>();
 		List<Job> waiting = new ArrayList<>();
 		long usedTokens = 0;
@@ -72,7 +72,7 @@
 			boolean burst = now >= 5000 && now < 10_000;
 			if (random.nextInt(1000) < STEP_MILLIS * (burst ? 14 : 7)) {
 				Job job = new Job(now, random);
-				job.ticket = queue.join(false, 1, bySize ? job.tokens : 0);
+				job.ticket = queue.add(false, 1, bySize ? job.tokens : 0);
 				jobs.add(job);
 				waiting.add(job);
 			}
@@ -84,15 +84,15 @@
 			}
 			for (Job job : List.copyOf(waiting)) {
 				if (bySize && !job.ticket.late() && now - job.arrivedAt > OBJECTIVE_MILLIS) {
-					job.ticket = queue.fallBehind(job.ticket);
+					job.ticket = queue.markLate(job.ticket);
 				}
-				boolean fits = queue.isTurn(job.ticket) && usedTokens + job.tokens <= MEMORY_TOKENS;
+				boolean fits = queue.mayReserve(job.ticket) && usedTokens + job.tokens <= MEMORY_TOKENS;
 				if (fits) {
 					job.startedAt = now;
 					usedTokens += job.tokens;
 				}
 				if (fits || now - job.arrivedAt > QUEUE_TIMEOUT_MILLIS) {
-					queue.leave(job.ticket);
+					queue.remove(job.ticket);
 					waiting.remove(job);
 				}
 			}
@@ -113,7 +113,7 @@
 
 		private final int durationMillis;
 
-		private AdmissionLine.Ticket ticket;
+		private AdmissionQueue.Ticket ticket;
 
 		private int startedAt = -1;
 
--- a/core/src/test/java/org/banyanstile/core/placement/AdmissionQueueTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/AdmissionQueueTests.java
@@ -6,45 +6,45 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Tests for {@link AdmissionLine}.
+ * Tests for {@link AdmissionQueue}.
  *
  * @author banyanstile contributors
  */
 class AdmissionQueueTests {
 
-	private final AdmissionLine queue = AdmissionLine.create(1);
+	private final AdmissionQueue queue = AdmissionQueue.create(1);
 
 	@Test
 	void smallRequestGoesBeforeALargeOne() {
-		AdmissionLine.Ticket large = this.queue.join(false, 1, 6000);
-		AdmissionLine.Ticket small = this.queue.join(false, 1, 2000);
-		assertThat(this.queue.isTurn(small), is(true));
-		assertThat(this.queue.isTurn(large), is(false));
+		AdmissionQueue.Ticket large = this.queue.add(false, 1, 6000);
+		AdmissionQueue.Ticket small = this.queue.add(false, 1, 2000);
+		assertThat(this.queue.mayReserve(small), is(true));
+		assertThat(this.queue.mayReserve(large), is(false));
 	}
 
 	@Test
 	void moreUrgentRequestGoesFirst() {
-		AdmissionLine.Ticket small = this.queue.join(false, 2, 10);
-		AdmissionLine.Ticket urgent = this.queue.join(false, 1, 6000);
-		assertThat(this.queue.isTurn(urgent), is(true));
-		assertThat(this.queue.isTurn(small), is(false));
+		AdmissionQueue.Ticket small = this.queue.add(false, 2, 10);
+		AdmissionQueue.Ticket urgent = this.queue.add(false, 1, 6000);
+		assertThat(this.queue.mayReserve(urgent), is(true));
+		assertThat(this.queue.mayReserve(small), is(false));
 	}
 
 	@Test
 	void lateRequestGoesBehindThoseThatCanStillBeOnTime() {
-		AdmissionLine.Ticket late = this.queue.fallBehind(this.queue.join(false, 1, 10));
-		AdmissionLine.Ticket fresh = this.queue.join(false, 1, 6000);
-		assertThat(this.queue.isTurn(fresh), is(true));
-		this.queue.leave(fresh);
-		assertThat(this.queue.isTurn(late), is(true));
+		AdmissionQueue.Ticket late = this.queue.markLate(this.queue.add(false, 1, 10));
+		AdmissionQueue.Ticket fresh = this.queue.add(false, 1, 6000);
+		assertThat(this.queue.mayReserve(fresh), is(true));
+		this.queue.remove(fresh);
+		assertThat(this.queue.mayReserve(late), is(true));
 	}
 
 	@Test
 	void lateRequestsKeepTheirOrder() {
-		AdmissionLine.Ticket large = this.queue.join(true, 1, 6000);
-		AdmissionLine.Ticket small = this.queue.join(true, 1, 10);
-		assertThat(this.queue.isTurn(large), is(true));
-		assertThat(this.queue.isTurn(small), is(false));
+		AdmissionQueue.Ticket large = this.queue.add(true, 1, 6000);
+		AdmissionQueue.Ticket small = this.queue.add(true, 1, 10);
+		assertThat(this.queue.mayReserve(large), is(true));
+		assertThat(this.queue.mayReserve(small), is(false));
 	}
 
 }
--- a/core/src/test/java/org/banyanstile/core/placement/EndpointPickerTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/EndpointPickerTests.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import java.util.Set;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.junit.jupiter.api.Test;
 
@@ -35,7 +35,7 @@
 	}
 
 	private static RegisteredEndpoint endpoint(String id, String dataCentre) {
-		return new RegisteredEndpoint(id, "desk", "10.0.0.1:80", dataCentre, EndpointPhase.PLAIN, true, 6, 0);
+		return new RegisteredEndpoint(id, "desk", "10.0.0.1:80", dataCentre, EndpointRole.PLAIN, true, 6, 0);
 	}
 
 	private int chosen(RegisteredEndpoint wanted) {
--- a/core/src/test/java/org/banyanstile/core/placement/PrefillPlacementTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/PrefillPlacementTests.java
@@ -10,8 +10,8 @@
 import static org.hamcrest.Matchers.lessThan;
 
 /**
- * Tests for {@link PromptReader}, alone and together with {@link RoleBalance} under the
- * load of a burst.
+ * Tests for {@link PrefillPlacement}, alone and together with {@link RoleBalance} under
+ * the load of a burst.
  *
  * @author banyanstile contributors
  */
@@ -26,19 +26,19 @@
 
 	@Test
 	void idlePrefillEngineTakesEveryPrompt() {
-		assertThat(PromptReader.isReadApart(10, 0), is(true));
-		assertThat(PromptReader.isReadApart(30_000, 0), is(true));
+		assertThat(PrefillPlacement.usesPrefillEngine(10, 0), is(true));
+		assertThat(PrefillPlacement.usesPrefillEngine(30_000, 0), is(true));
 	}
 
 	@Test
 	void shortPromptDoesNotWaitBehindLongOnes() {
-		assertThat(PromptReader.isReadApart(100, 20_000), is(false));
-		assertThat(PromptReader.isReadApart(PROMPT_TOKENS, 5 * PROMPT_TOKENS), is(false));
+		assertThat(PrefillPlacement.usesPrefillEngine(100, 20_000), is(false));
+		assertThat(PrefillPlacement.usesPrefillEngine(PROMPT_TOKENS, 5 * PROMPT_TOKENS), is(false));
 	}
 
 	@Test
 	void shortQueueIsNoReasonToDisturbADecodeEngine() {
-		assertThat(PromptReader.isReadApart(100, 500), is(true));
+		assertThat(PrefillPlacement.usesPrefillEngine(100, 500), is(true));
 	}
 
 	/**
@@ -90,7 +90,7 @@
 				int prefillEngine = earliest(prefillFreeAt);
 				double queue = Math.max(0, prefillFreeAt[prefillEngine] - start) * PREFILL_TOKENS_PER_MILLI;
 				double prefillMillis = 2 * PROMPT_TOKENS / PREFILL_TOKENS_PER_MILLI;
-				if (!decodeEnginesPrefill || PromptReader.isReadApart(PROMPT_TOKENS, (long) queue)) {
+				if (!decodeEnginesPrefill || PrefillPlacement.usesPrefillEngine(PROMPT_TOKENS, (long) queue)) {
 					prefillFreeAt[prefillEngine] = Math.max(start, prefillFreeAt[prefillEngine])
 							+ PROMPT_TOKENS / PREFILL_TOKENS_PER_MILLI;
 					prefillMillis = prefillFreeAt[prefillEngine] - start;
--- a/core/src/test/java/org/banyanstile/core/placement/RoleBalanceTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/RoleBalanceTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.junit.jupiter.api.Test;
 
@@ -25,13 +25,13 @@
 		List<RegisteredEndpoint> engines = new ArrayList<>();
 		for (int i = 0; i < prefill + decode; i++) {
 			engines.add(new RegisteredEndpoint("e" + i, "llm", "10.0.0.1:80", "dc" + i % 3,
-					(i < prefill) ? EndpointPhase.PREFILL : EndpointPhase.DECODE, true, 64, 0));
+					(i < prefill) ? EndpointRole.PREFILL : EndpointRole.DECODE, true, 64, 0));
 		}
 		return engines;
 	}
 
 	private static List<RoleBalance.RoleChange> plan(List<RegisteredEndpoint> engines,
-			Map<String, EndpointPhase> changing) {
+			Map<String, EndpointRole> changing) {
 		return RoleBalance.plan(engines, changing, (id) -> 0);
 	}
 
@@ -39,19 +39,19 @@
 	void surplusPrefillEnginesBecomeDecodeEngines() {
 		List<RoleBalance.RoleChange> plan = plan(engines(5, 8), Map.of());
 		assertThat(plan, hasSize(3));
-		assertThat(plan.get(0).phase(), is(EndpointPhase.DECODE));
+		assertThat(plan.get(0).role(), is(EndpointRole.DECODE));
 	}
 
 	@Test
 	void lostPrefillEnginesAreReplaced() {
 		List<RoleBalance.RoleChange> plan = plan(engines(0, 5), Map.of());
 		assertThat(plan, hasSize(RoleBalance.prefillTarget(5)));
-		assertThat(plan.get(0).phase(), is(EndpointPhase.PREFILL));
+		assertThat(plan.get(0).role(), is(EndpointRole.PREFILL));
 	}
 
 	@Test
 	void engineThatChangesCountsAsItsNewRole() {
-		assertThat(plan(engines(2, 4), Map.of("e0", EndpointPhase.DECODE)), is(empty()));
+		assertThat(plan(engines(2, 4), Map.of("e0", EndpointRole.DECODE)), is(empty()));
 	}
 
 	@Test
--- a/core/src/test/java/org/banyanstile/core/placement/RoleChangesTests.java
+++ b/core/src/test/java/org/banyanstile/core/placement/RoleChangesTests.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Random;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.junit.jupiter.api.Test;
 
@@ -12,7 +12,7 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Tests for {@link PhaseChanges}.
+ * Tests for {@link RoleChanges}.
  *
  * @author banyanstile contributors
  */
@@ -20,33 +20,33 @@
 
 	private static final long SECOND = 1_000_000_000L;
 
-	private final PhaseChanges changes = new PhaseChanges();
+	private final RoleChanges changes = new RoleChanges();
 
-	private static RegisteredEndpoint engine(EndpointPhase role) {
+	private static RegisteredEndpoint engine(EndpointRole role) {
 		return new RegisteredEndpoint("e1", "llm", "10.0.0.1:80", "dc1", role, true, 64, 0);
 	}
 
 	@Test
 	void engineTakesNoWorkUntilItsRegisteredRoleIsTheNewOne() {
-		this.changes.begin("e1", EndpointPhase.PREFILL, 10 * SECOND);
-		assertThat(this.changes.isChanging(engine(EndpointPhase.DECODE), 6 * SECOND), is(true));
-		assertThat(this.changes.isChanging(engine(EndpointPhase.PREFILL), 6 * SECOND), is(false));
+		this.changes.begin("e1", EndpointRole.PREFILL, 10 * SECOND);
+		assertThat(this.changes.isChanging(engine(EndpointRole.DECODE), 6 * SECOND), is(true));
+		assertThat(this.changes.isChanging(engine(EndpointRole.PREFILL), 6 * SECOND), is(false));
 	}
 
 	@Test
 	void orderThatIsNeverCarriedOutCountsAsLost() {
-		this.changes.begin("e1", EndpointPhase.PREFILL, 10 * SECOND);
-		assertThat(this.changes.isChanging(engine(EndpointPhase.DECODE), 10 * SECOND), is(false));
+		this.changes.begin("e1", EndpointRole.PREFILL, 10 * SECOND);
+		assertThat(this.changes.isChanging(engine(EndpointRole.DECODE), 10 * SECOND), is(false));
 		assertThat(this.changes.pending(10 * SECOND), is(empty()));
 	}
 
 	@Test
 	void otherVmsLearnOfAChange() {
-		this.changes.begin("e1", EndpointPhase.PREFILL, 10 * SECOND);
-		PhaseChanges other = new PhaseChanges();
+		this.changes.begin("e1", EndpointRole.PREFILL, 10 * SECOND);
+		RoleChanges other = new RoleChanges();
 		other.report(this.changes.pending(4 * SECOND), 100 * SECOND);
-		assertThat(other.isChanging(engine(EndpointPhase.DECODE), 105 * SECOND), is(true));
-		assertThat(other.isChanging(engine(EndpointPhase.DECODE), 106 * SECOND), is(false));
+		assertThat(other.isChanging(engine(EndpointRole.DECODE), 105 * SECOND), is(true));
+		assertThat(other.isChanging(engine(EndpointRole.DECODE), 106 * SECOND), is(false));
 	}
 
 	/**
@@ -57,17 +57,16 @@
 	void changeEndsOnAllVmsAlthoughTheyReportItToEachOther() {
 		for (int seed = 0; seed < 200; seed++) {
 			Random random = new Random(seed);
-			List<PhaseChanges> vms = List.of(new PhaseChanges(), new PhaseChanges(), new PhaseChanges(),
-					new PhaseChanges());
-			vms.get(0).begin("e1", EndpointPhase.PREFILL, 5 * SECOND);
+			List<RoleChanges> vms = List.of(new RoleChanges(), new RoleChanges(), new RoleChanges(), new RoleChanges());
+			vms.get(0).begin("e1", EndpointRole.PREFILL, 5 * SECOND);
 			long now = 0;
 			while (now < 8 * SECOND) {
-				List<PhaseChanges.Report> reports = vms.get(random.nextInt(4)).pending(now);
+				List<RoleChanges.Report> reports = vms.get(random.nextInt(4)).pending(now);
 				now += random.nextInt(40_000_000);
 				vms.get(random.nextInt(4)).report(reports, now);
 			}
-			for (PhaseChanges vm : vms) {
-				assertThat("seed " + seed, vm.isChanging(engine(EndpointPhase.DECODE), now), is(false));
+			for (RoleChanges vm : vms) {
+				assertThat("seed " + seed, vm.isChanging(engine(EndpointRole.DECODE), now), is(false));
 			}
 		}
 	}
--- a/core/src/test/java/org/banyanstile/core/replica/TableReplicaTests.java
+++ b/core/src/test/java/org/banyanstile/core/replica/TableReplicaTests.java
@@ -100,7 +100,7 @@
 		}
 		TableReplica from = copies.get(random.nextInt(copies.size()));
 		long after = to.complete();
-		if (from.remembers(after)) {
+		if (from.retainsChangesAfter(after)) {
 			to.apply(from.changesAfter(after), after, from.complete(), from.storeMillis());
 		}
 	}
--- a/server/src/main/java/org/banyanstile/server/Daemon.java
+++ b/server/src/main/java/org/banyanstile/server/Daemon.java
@@ -17,13 +17,13 @@
 import org.banyanstile.core.common.Ticker;
 import org.banyanstile.core.common.VmId;
 import org.banyanstile.io.http.HttpClient;
-import org.banyanstile.server.caller.AnswerMemory;
 import org.banyanstile.server.caller.CallWatch;
 import org.banyanstile.server.caller.CallerServer;
 import org.banyanstile.server.caller.EngineCanceller;
 import org.banyanstile.server.caller.MemberDirectory;
 import org.banyanstile.server.caller.RequestMetrics;
 import org.banyanstile.server.caller.RequestServices;
+import org.banyanstile.server.caller.ResponseCache;
 import org.banyanstile.server.caller.RunningStreams;
 import org.banyanstile.server.endpoint.EngineClient;
 import org.banyanstile.server.endpoint.ServiceClient;
@@ -150,7 +150,7 @@
 		return new RequestServices(DataCentreId.of(this.settings.dataCentre()), this.configuration, parts.serving(),
 				parts.limiter(), parts.slots(), parts.claims(), parts.directory(), new RetryAllowance(), this.engine,
 				ServiceClient.create(this.http), this.canceller, this.running,
-				AnswerMemory.create(ANSWER_RETENTION, ANSWER_BYTES, Ticker.system()), this.watch,
+				ResponseCache.create(ANSWER_RETENTION, ANSWER_BYTES, Ticker.system()), this.watch,
 				RequestMetrics.create(this.registry, this.burn, Ticker.system()));
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/RequestServices.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestServices.java
@@ -27,6 +27,6 @@
 public record RequestServices(DataCentreId dataCentre, ConfigurationView configuration, ServingCheck serving,
 		TeamLimiter limiter, SlotSource slots, ClaimService claims, StreamDirectory directory, RetryPermits retries,
 		EngineClient engine, ServiceClient service, EngineCanceller canceller, RunningStreams running,
-		AnswerMemory responses, CallWatch watch, RequestMetrics metrics) {
+		ResponseCache responses, CallWatch watch, RequestMetrics metrics) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/caller/AnswerMemory.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ResponseCache.java
@@ -14,7 +14,7 @@
  *
  * @author banyanstile contributors
  */
-public final class AnswerMemory {
+public final class ResponseCache {
 
 	private final long retentionNanos;
 
@@ -26,7 +26,7 @@
 
 	private long bytes;
 
-	private AnswerMemory(long retentionNanos, long maxBytes, Ticker ticker) {
+	private ResponseCache(long retentionNanos, long maxBytes, Ticker ticker) {
 		this.retentionNanos = retentionNanos;
 		this.maxBytes = maxBytes;
 		this.ticker = ticker;
@@ -39,8 +39,8 @@
 	 * @param ticker time source
 	 * @return the cache
 	 */
-	public static AnswerMemory create(Duration retention, long maxBytes, Ticker ticker) {
-		return new AnswerMemory(retention.toNanos(), maxBytes, ticker);
+	public static ResponseCache create(Duration retention, long maxBytes, Ticker ticker) {
+		return new ResponseCache(retention.toNanos(), maxBytes, ticker);
 	}
 
 	synchronized void put(StreamKey key, CachedResponse response) {
--- a/server/src/main/java/org/banyanstile/server/caller/RunningStreams.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RunningStreams.java
@@ -53,7 +53,7 @@
 	 * @param key identity of the request
 	 * @return where the stream continues, or {@code null} if there is none
 	 */
-	public @Nullable StreamLocation surrender(StreamKey key) {
+	public @Nullable StreamLocation handOver(StreamKey key) {
 		RunningStream stream = this.streams.get(key);
 		StreamHandle handover = (stream != null) ? stream.supersede() : null;
 		if (stream == null || handover == null) {
--- a/server/src/main/java/org/banyanstile/server/fleet/FleetStreamDirectory.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetStreamDirectory.java
@@ -68,7 +68,7 @@
 		handlers.registerInline(StreamLookup.class, directory::lookUp);
 		handlers.registerInline(StreamAnnounce.class, directory::announced);
 		handlers.registerInline(StreamWithdraw.class, directory::withdrawn);
-		handlers.register(StreamTakeover.class, directory::surrender);
+		handlers.register(StreamTakeover.class, directory::handOver);
 		return directory;
 	}
 
@@ -186,9 +186,9 @@
 		return null;
 	}
 
-	private Record surrender(VmId from, StreamTakeover message) {
+	private Record handOver(VmId from, StreamTakeover message) {
 		StreamKey key = new StreamKey(TeamId.of(message.team()), message.keyHash());
-		StreamLocation location = this.running.surrender(key);
+		StreamLocation location = this.running.handOver(key);
 		if (location == null) {
 			return StreamFound.none();
 		}
--- a/server/src/main/java/org/banyanstile/server/fleet/PoolReconciler.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/PoolReconciler.java
@@ -100,7 +100,7 @@
 			.map((target) -> new Candidate(target.id(), target.slots()))
 			.toList();
 		this.owner.send(owned.answers(owned.broker().configure(candidates, this.ticker.nanos())));
-		gone.forEach((vm) -> this.owner.send(owned.answers(owned.broker().vmGone(vm, this.ticker.nanos()))));
+		gone.forEach((vm) -> this.owner.send(owned.answers(owned.broker().vmRemoved(vm, this.ticker.nanos()))));
 		for (EndpointTarget target : targets) {
 			if (target.pool().role() == PoolRole.DECODE) {
 				observe(owned, target, seen);
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipNode.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipNode.java
@@ -130,7 +130,7 @@
 			.registerNested(GossipMember.class)
 			.registerNested(GossipLoad.class)
 			.registerNested(GossipUse.class)
-			.registerNested(GossipChange.class)
+			.registerNested(GossipRoleChange.class)
 			.registerNested(GossipRow.class)
 			.register(GossipRows.class)
 			.register(GossipState.class);
@@ -213,7 +213,7 @@
 		}
 		List<GossipMember> peers = withMembers ? this.membership.alivePeers(this.ticker.nanos()) : List.of();
 		return new GossipState(this.membership.self(), peers, this.local.loads(), this.local.uses(),
-				this.local.changes(), versions, millis, reply);
+				this.local.roleChanges(), versions, millis, reply);
 	}
 
 	private void send(ByteBuffer datagram, SocketAddress target) {
@@ -356,7 +356,7 @@
 		 * Returns the role changes that this VM knows to be in progress.
 		 * @return the role changes
 		 */
-		List<GossipChange> changes();
+		List<GossipRoleChange> roleChanges();
 
 		/**
 		 * Receives the state of another VM.
--- a/server/src/main/java/org/banyanstile/server/gossip/GossipState.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/GossipState.java
@@ -10,13 +10,13 @@
  * list
  * @param loads its running requests by endpoint
  * @param uses tokens that it has used, by team
- * @param changes engines that are changing their role
+ * @param roleChanges engines that are changing their role
  * @param versions for each table the version up to which it knows all changes
  * @param millis the store's time of each of these versions
  * @param reply whether this replies to another state, and needs no reply itself
  * @author banyanstile contributors
  */
 public record GossipState(GossipMember self, List<GossipMember> members, List<GossipLoad> loads, List<GossipUse> uses,
-		List<GossipChange> changes, List<Long> versions, List<Long> millis, boolean reply) {
+		List<GossipRoleChange> roleChanges, List<Long> versions, List<Long> millis, boolean reply) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/gossip/VmRegistration.java
+++ b/server/src/main/java/org/banyanstile/server/gossip/VmRegistration.java
@@ -114,14 +114,14 @@
 			.anyMatch((row) -> row.vm().equals(self.vm()) && row.peerAddress().equals(self.peerAddress()));
 		if (!hasOwnRow) {
 			this.source.register(self.vm(), self.peerAddress());
-			this.log.belief("registered", "rows", rows.size());
+			this.log.stateChange("registered", "rows", rows.size());
 		}
 		Set<VmId> missing = updateRegistered(rows);
 		if (this.membership.rank(this.ticker.nanos()) == 0) {
 			for (VmRow row : rows) {
 				if (missing.contains(VmId.of(row.vm()))) {
 					this.source.unregister(row);
-					this.log.belief("row of a VM removed", "vm", row.vm(), "version", row.version());
+					this.log.stateChange("row of a VM removed", "vm", row.vm(), "version", row.version());
 				}
 			}
 		}
--- a/server/src/main/java/org/banyanstile/server/platform/Coordination.java
+++ b/server/src/main/java/org/banyanstile/server/platform/Coordination.java
@@ -284,7 +284,7 @@
 		return (receiver) -> {
 			boolean suspended = this.floorsSuspended.test(receiver);
 			synchronized (this) {
-				return this.coordinator.address(round, receiver, suspended);
+				return this.coordinator.completeHeartbeat(round, receiver, suspended);
 			}
 		};
 	}
--- a/server/src/main/java/org/banyanstile/server/router/CallAttempts.java
+++ b/server/src/main/java/org/banyanstile/server/router/CallAttempts.java
@@ -77,7 +77,7 @@
 	 * @return whether it may
 	 */
 	boolean mayRetryAfterRun() {
-		return this.call.route().isRepeatable() && this.runs < this.call.route().maxAttempts()
+		return this.call.route().isRetryable() && this.runs < this.call.route().maxAttempts()
 				&& !this.call.isCancelledOrTimedOut();
 	}
 
@@ -87,7 +87,7 @@
 	 * @return whether it could
 	 */
 	boolean mayRetryAfterNextRun() {
-		return this.call.route().isRepeatable() && this.runs + 1 < this.call.route().maxAttempts();
+		return this.call.route().isRetryable() && this.runs + 1 < this.call.route().maxAttempts();
 	}
 
 	/**
--- a/server/src/main/java/org/banyanstile/server/router/CallerResponse.java
+++ b/server/src/main/java/org/banyanstile/server/router/CallerResponse.java
@@ -55,7 +55,7 @@
 	void start(int status, List<Map.Entry<String, String>> headers, RequestProtocol protocol) {
 		this.exchange.setStatusCode(status);
 		for (Map.Entry<String, String> header : headers) {
-			if (protocol.isPassedBack(header.getKey())) {
+			if (protocol.isForwardedToCaller(header.getKey())) {
 				this.exchange.getResponseHeaders().add(new HttpString(header.getKey()), header.getValue());
 			}
 		}
--- a/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
+++ b/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
@@ -68,7 +68,7 @@
 	 * @param event what changed
 	 * @param fields names and values, alternating
 	 */
-	public void belief(String event, @Nullable Object... fields) {
+	public void stateChange(String event, @Nullable Object... fields) {
 		if (this.stateChanges.tryAcquire()) {
 			write(this.stateChanges, event, null, null, fields);
 		}
--- a/server/src/main/java/org/banyanstile/server/router/DecodeReservations.java
+++ b/server/src/main/java/org/banyanstile/server/router/DecodeReservations.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.EngineTraits;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
-import org.banyanstile.core.placement.AdmissionLine;
+import org.banyanstile.core.placement.AdmissionQueue;
 import org.banyanstile.io.http.HttpException;
 import org.jspecify.annotations.Nullable;
 
@@ -71,14 +71,14 @@
 		if (this.tokens > this.traits.memoryTokens()) {
 			throw RejectionException.notRun("the request needs more memory than an engine has", 0);
 		}
-		AdmissionLine queue = this.services.admissionQueue(this.call.service());
+		AdmissionQueue queue = this.services.admissionQueue(this.call.service());
 		long latestOnTimeMillis = this.call.route().objectiveMillis() - TYPICAL_FIRST_EVENT_MILLIS;
 		boolean late = this.call.ageMillis() > latestOnTimeMillis || this.call.isCallerRetry();
-		AdmissionLine.Ticket ticket = queue.join(late, this.call.priority(), this.tokens);
+		AdmissionQueue.Ticket ticket = queue.add(late, this.call.priority(), this.tokens);
 		long maxAgeMillis = latestOnTimeMillis + MAX_LATE_WAIT_MILLIS;
 		try {
 			while (true) {
-				if (queue.isTurn(ticket)) {
+				if (queue.mayReserve(ticket)) {
 					DecodeReservation reservation = tryReserve((engine) -> true);
 					if (reservation != null) {
 						return reservation;
@@ -89,7 +89,7 @@
 							retryAfterSeconds(queue));
 				}
 				if (!ticket.late() && this.call.ageMillis() > latestOnTimeMillis) {
-					ticket = queue.fallBehind(ticket);
+					ticket = queue.markLate(ticket);
 				}
 				queue.awaitChange(RETRY_INTERVAL_MILLIS);
 			}
@@ -99,7 +99,7 @@
 			throw RejectionException.notRun("this VM is shutting down", 0.1);
 		}
 		finally {
-			queue.leave(ticket);
+			queue.remove(ticket);
 		}
 	}
 
@@ -116,13 +116,13 @@
 
 	// Spreads the retries of callers over the time in which the engines can work off the
 	// admission queue.
-	private double retryAfterSeconds(AdmissionLine queue) {
+	private double retryAfterSeconds(AdmissionQueue queue) {
 		double spread = Math.min(3, 0.5 + 0.1 * queue.length());
 		return 0.5 + spread * Math.random();
 	}
 
 	private @Nullable DecodeReservation tryReserve(Predicate<RegisteredEndpoint> candidate) {
-		List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointPhase.DECODE)
+		List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointRole.DECODE)
 			.stream()
 			.filter(candidate)
 			.toList();
--- a/server/src/main/java/org/banyanstile/server/router/DirectoryProtocol.java
+++ b/server/src/main/java/org/banyanstile/server/router/DirectoryProtocol.java
@@ -30,6 +30,6 @@
 	 * @param lifetime how long callers may cache the response
 	 * @return the JSON body
 	 */
-	byte[] directoryAnswer(List<String> addresses, Duration lifetime);
+	byte[] directoryResponse(List<String> addresses, Duration lifetime);
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/EndpointClient.java
+++ b/server/src/main/java/org/banyanstile/server/router/EndpointClient.java
@@ -76,7 +76,7 @@
 
 	private HttpResponse checked(RouterCall call, RegisteredEndpoint endpoint, HttpResponse response,
 			boolean prefillOnly) throws NotRunException, UnknownOutcomeException {
-		AnswerFields fields = this.protocol.answerFields(response.status(), response::header);
+		ResponseFields fields = this.protocol.responseFields(response.status(), response::header);
 		if (response.status() == MISDIRECTED) {
 			this.health.replaced(endpoint.id(), System.nanoTime());
 			drainRefusal(response);
--- a/server/src/main/java/org/banyanstile/server/router/EngineCalls.java
+++ b/server/src/main/java/org/banyanstile/server/router/EngineCalls.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.io.http.HttpException;
 import org.jspecify.annotations.Nullable;
@@ -67,7 +67,7 @@
 	 * @return the outcome
 	 * @throws HttpException if the engine did not respond, so the outcome is unknown
 	 */
-	OrderOutcome changePhase(RegisteredEndpoint engine, EndpointPhase role, String owner, long fencingToken)
+	OrderOutcome changeRole(RegisteredEndpoint engine, EndpointRole role, String owner, long fencingToken)
 			throws HttpException;
 
 	/**
--- a/server/src/main/java/org/banyanstile/server/router/GenerationRun.java
+++ b/server/src/main/java/org/banyanstile/server/router/GenerationRun.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Set;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.EngineTraits;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
-import org.banyanstile.core.placement.PromptReader;
+import org.banyanstile.core.placement.PrefillPlacement;
 import org.banyanstile.io.http.HttpException;
 import org.banyanstile.io.http.HttpResponse;
 import org.banyanstile.io.http.ResponseTimeoutException;
@@ -276,10 +276,10 @@
 		Set<String> tried = new HashSet<>();
 		boolean retry = this.attempts.hasReachedEndpoint();
 		for (int i = 0; i < MAX_PREFILL_ATTEMPTS && !this.call.isCancelledOrTimedOut(); i++) {
-			List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointPhase.PREFILL);
+			List<RegisteredEndpoint> engines = this.services.engines(this.call.service(), EndpointRole.PREFILL);
 			RegisteredEndpoint engine = this.services.picker()
 				.leastTokens(engines, tried, reservation.engine().dataCentre(), System.nanoTime());
-			if (engine == null || !PromptReader.isReadApart(this.call.fields().promptTokens(),
+			if (engine == null || !PrefillPlacement.usesPrefillEngine(this.call.fields().promptTokens(),
 					this.services.loads().total(engine.id()).tokens())) {
 				return null;
 			}
--- a/server/src/main/java/org/banyanstile/server/router/PlainRun.java
+++ b/server/src/main/java/org/banyanstile/server/router/PlainRun.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.io.http.HttpException;
 import org.banyanstile.io.http.HttpResponse;
@@ -29,7 +29,7 @@
 	 */
 	private static final Duration MAX_ONCE_ONLY_IDLE = Duration.ofMillis(300);
 
-	private static final Duration MAX_REPEATABLE_IDLE = Duration.ofSeconds(5);
+	private static final Duration MAX_RETRYABLE_IDLE = Duration.ofSeconds(5);
 
 	private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
@@ -114,7 +114,7 @@
 
 	private @Nullable RegisteredEndpoint pickEndpoint() {
 		List<RegisteredEndpoint> candidates = new ArrayList<>(
-				this.services.view().snapshot().usable(this.call.service(), EndpointPhase.PLAIN));
+				this.services.view().snapshot().usable(this.call.service(), EndpointRole.PLAIN));
 		while (!candidates.isEmpty()) {
 			RegisteredEndpoint endpoint = this.services.picker().fastest(candidates, this.tried, System.nanoTime());
 			if (endpoint == null || (this.tried.contains(endpoint.id()) && !this.attempts.hasRun())) {
@@ -130,14 +130,13 @@
 
 	private BufferedResponse attempt(RegisteredEndpoint endpoint) throws NotRunException, UnknownOutcomeException {
 		this.tried.add(endpoint.id());
-		boolean repeatable = this.call.route().isRepeatable();
+		boolean retryable = this.call.route().isRetryable();
 		EndpointFields fields = EndpointFields.plain(endpoint.id(), this.call.team(),
 				this.call.endpointTimeoutMillis());
 		long startNanos = System.nanoTime();
 		this.services.loads().begin(endpoint.id(), 0);
 		try (HttpResponse response = this.services.client()
-			.send(this.call, endpoint, fields, repeatable ? MAX_REPEATABLE_IDLE : MAX_ONCE_ONLY_IDLE,
-					attemptTimeout())) {
+			.send(this.call, endpoint, fields, retryable ? MAX_RETRYABLE_IDLE : MAX_ONCE_ONLY_IDLE, attemptTimeout())) {
 			response.setReadTimeout(attemptTimeout());
 			BufferedResponse buffered = new BufferedResponse(response.status(), response.headers(),
 					response.bytes(MAX_BODY_BYTES));
--- a/server/src/main/java/org/banyanstile/server/router/RequestIntake.java
+++ b/server/src/main/java/org/banyanstile/server/router/RequestIntake.java
@@ -269,7 +269,7 @@
 
 	private static @Nullable TeamPolicy team(Catalog catalog, ServedRoute route, CallerFields fields)
 			throws RejectionException {
-		if (!catalog.isKeyed() || route.anonymous()) {
+		if (!catalog.isKeyRequired() || route.anonymous()) {
 			return null;
 		}
 		TeamPolicy team = (fields.apiKey() != null) ? catalog.team(fields.apiKey()) : null;
--- a/server/src/main/java/org/banyanstile/server/router/RequestProtocol.java
+++ b/server/src/main/java/org/banyanstile/server/router/RequestProtocol.java
@@ -24,14 +24,14 @@
 	 * @param name name of the field
 	 * @return whether it is
 	 */
-	boolean isPassedOn(String name);
+	boolean isForwardedToEndpoint(String name);
 
 	/**
 	 * Returns whether an endpoint's header field is forwarded to the caller.
 	 * @param name name of the field
 	 * @return whether it is
 	 */
-	boolean isPassedBack(String name);
+	boolean isForwardedToCaller(String name);
 
 	/**
 	 * Encodes the header fields that the router adds to a request.
@@ -46,6 +46,6 @@
 	 * @param header returns the value of a field by name, {@code null} if it is absent
 	 * @return the fields
 	 */
-	AnswerFields answerFields(int status, Function<String, @Nullable String> header);
+	ResponseFields responseFields(int status, Function<String, @Nullable String> header);
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/AnswerFields.java
+++ b/server/src/main/java/org/banyanstile/server/router/ResponseFields.java
@@ -10,6 +10,6 @@
  * @param notRun whether the endpoint says that it did not run the request
  * @author banyanstile contributors
  */
-public record AnswerFields(@Nullable String attemptId, boolean sealed, boolean notRun) {
+public record ResponseFields(@Nullable String attemptId, boolean sealed, boolean notRun) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/router/RoleController.java
+++ b/server/src/main/java/org/banyanstile/server/router/RoleController.java
@@ -12,18 +12,18 @@
 import java.util.function.BooleanSupplier;
 
 import org.banyanstile.core.catalog.Catalog;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.EngineTraits;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.core.catalog.ServedService;
-import org.banyanstile.core.lease.OrderTurn;
+import org.banyanstile.core.lease.RoleChangeOwnership;
 import org.banyanstile.core.placement.EndpointLoads;
-import org.banyanstile.core.placement.PhaseChanges;
 import org.banyanstile.core.placement.RoleBalance;
+import org.banyanstile.core.placement.RoleChanges;
 import org.banyanstile.io.http.HttpException;
 import org.banyanstile.server.view.FleetSnapshot;
 import org.banyanstile.server.view.FleetView;
-import org.banyanstile.server.view.OrderRow;
+import org.banyanstile.server.view.RoleChangeOwnerRow;
 import org.banyanstile.server.view.TableSource;
 import org.banyanstile.server.view.TableSourceException;
 
@@ -59,13 +59,13 @@
 
 	private final EndpointLoads loads;
 
-	private final PhaseChanges roleChanges;
+	private final RoleChanges roleChanges;
 
 	private final BooleanSupplier isEligible;
 
 	private final DecisionLog log;
 
-	private final OrderTurn ownership;
+	private final RoleChangeOwnership ownership;
 
 	/**
 	 * Orders that this VM has given, whatever their outcome, by engine. An engine in this
@@ -84,7 +84,7 @@
 	private long knownIdsSinceNanos;
 
 	RoleController(String vm, FleetView view, TableSource store, EngineCalls engineCalls, EndpointLoads loads,
-			PhaseChanges roleChanges, BooleanSupplier isEligible, DecisionLog log) {
+			RoleChanges roleChanges, BooleanSupplier isEligible, DecisionLog log) {
 		this.vm = vm;
 		this.view = view;
 		this.store = store;
@@ -93,7 +93,7 @@
 		this.roleChanges = roleChanges;
 		this.isEligible = isEligible;
 		this.log = log;
-		this.ownership = OrderTurn.of(vm);
+		this.ownership = RoleChangeOwnership.of(vm);
 	}
 
 	void start() {
@@ -151,10 +151,10 @@
 			.usable()
 			.getOrDefault(service, List.of())
 			.stream()
-			.filter((engine) -> engine.phase() != EndpointPhase.PLAIN)
+			.filter((engine) -> engine.role() != EndpointRole.PLAIN)
 			.toList();
-		Map<String, EndpointPhase> pending = new HashMap<>();
-		this.roleChanges.pending(System.nanoTime()).forEach((change) -> pending.put(change.endpoint(), change.phase()));
+		Map<String, EndpointRole> pending = new HashMap<>();
+		this.roleChanges.pending(System.nanoTime()).forEach((change) -> pending.put(change.endpoint(), change.role()));
 		this.issuedOrders.forEach((id, order) -> pending.put(id, order.role()));
 		List<RoleBalance.RoleChange> plan = RoleBalance.plan(all, pending, (id) -> this.loads.total(id).tokens());
 		if (plan.isEmpty() || !confirmOwnership()) {
@@ -171,19 +171,19 @@
 	 * @throws TableSourceException if the store did not respond
 	 */
 	private boolean confirmOwnership() throws TableSourceException {
-		OrderRow row = this.store.orderRow();
+		RoleChangeOwnerRow row = this.store.roleChangeOwner();
 		this.ownership.read(row.version(), row.owner(), System.nanoTime());
 		if (!this.ownership.mayWrite(System.nanoTime())) {
 			return false;
 		}
 		long startNanos = System.nanoTime();
-		long version = this.store.writeOrderRow(this.vm, this.ownership.expectedVersion());
+		long version = this.store.writeRoleChangeOwner(this.vm, this.ownership.expectedVersion());
 		if (version < 0) {
 			this.ownership.lost();
 			return false;
 		}
 		this.ownership.written(version, startNanos);
-		this.log.belief("turn to give orders", "fencingToken", version, "previousOwner", row.owner());
+		this.log.stateChange("turn to give orders", "fencingToken", version, "previousOwner", row.owner());
 		return true;
 	}
 
@@ -195,13 +195,13 @@
 			return;
 		}
 		long expiresAtNanos = now + TimeUnit.MILLISECONDS.toNanos(traits.roleChangeMillis()) + ORDER_MARGIN_NANOS;
-		this.issuedOrders.put(engine.id(), new IssuedOrder(change.phase(), expiresAtNanos));
+		this.issuedOrders.put(engine.id(), new IssuedOrder(change.role(), expiresAtNanos));
 		try {
-			EngineCalls.OrderOutcome outcome = this.engineCalls.changePhase(engine, change.phase(), this.vm, token);
-			this.log.belief("order", "engine", engine.id(), "phase", change.phase(), "fencingToken", token, "outcome",
-					outcome);
+			EngineCalls.OrderOutcome outcome = this.engineCalls.changeRole(engine, change.role(), this.vm, token);
+			this.log.stateChange("order", "engine", engine.id(), "phase", change.role(), "fencingToken", token,
+					"outcome", outcome);
 			if (outcome == EngineCalls.OrderOutcome.ACCEPTED) {
-				this.roleChanges.begin(engine.id(), change.phase(), expiresAtNanos);
+				this.roleChanges.begin(engine.id(), change.role(), expiresAtNanos);
 			}
 			if (outcome == EngineCalls.OrderOutcome.FENCED) {
 				this.ownership.lost();
@@ -224,7 +224,7 @@
 	 * @param expiresAtNanos time in nanoseconds after which it counts as failed
 	 * @author banyanstile contributors
 	 */
-	private record IssuedOrder(EndpointPhase role, long expiresAtNanos) {
+	private record IssuedOrder(EndpointRole role, long expiresAtNanos) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/router/Router.java
+++ b/server/src/main/java/org/banyanstile/server/router/Router.java
@@ -12,17 +12,17 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import org.banyanstile.core.catalog.Catalog;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.common.Ticker;
 import org.banyanstile.core.placement.EndpointHealth;
 import org.banyanstile.core.placement.EndpointLoads;
 import org.banyanstile.core.placement.EndpointPicker;
-import org.banyanstile.core.placement.PhaseChanges;
+import org.banyanstile.core.placement.RoleChanges;
 import org.banyanstile.io.http.HttpClient;
-import org.banyanstile.server.gossip.GossipChange;
 import org.banyanstile.server.gossip.GossipLoad;
 import org.banyanstile.server.gossip.GossipMember;
 import org.banyanstile.server.gossip.GossipNode;
+import org.banyanstile.server.gossip.GossipRoleChange;
 import org.banyanstile.server.gossip.GossipState;
 import org.banyanstile.server.gossip.GossipUse;
 import org.banyanstile.server.gossip.MemberState;
@@ -108,7 +108,7 @@
 		VmRegistration registration = VmRegistration.create(platform.source(), membership, ticker, log);
 		TeamQuotas quotas = new TeamQuotas(ticker, settings.limitTolerance(), registration::others);
 		GracefulShutdown shutdown = GracefulShutdown.of(settings.shutdown(), ticker);
-		PhaseChanges roleChanges = new PhaseChanges();
+		RoleChanges roleChanges = new RoleChanges();
 		LocalGossipState localState = new LocalGossipState(view, loads, quotas, roleChanges, shutdown, ticker);
 		PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 		RouterServices services = new RouterServices(settings, view, roleChanges, platform.requests(),
@@ -227,13 +227,13 @@
 
 		private final TeamQuotas quotas;
 
-		private final PhaseChanges roleChanges;
+		private final RoleChanges roleChanges;
 
 		private final GracefulShutdown shutdown;
 
 		private final Ticker ticker;
 
-		private LocalGossipState(FleetView view, EndpointLoads loads, TeamQuotas quotas, PhaseChanges roleChanges,
+		private LocalGossipState(FleetView view, EndpointLoads loads, TeamQuotas quotas, RoleChanges roleChanges,
 				GracefulShutdown shutdown, Ticker ticker) {
 			this.view = view;
 			this.loads = loads;
@@ -270,10 +270,11 @@
 		}
 
 		@Override
-		public List<GossipChange> changes() {
+		public List<GossipRoleChange> roleChanges() {
 			return this.roleChanges.pending(this.ticker.nanos())
 				.stream()
-				.map((change) -> new GossipChange(change.endpoint(), change.phase().ordinal(), change.leftMillis()))
+				.map((change) -> new GossipRoleChange(change.endpoint(), change.role().ordinal(),
+						change.remainingMillis()))
 				.toList();
 		}
 
@@ -285,10 +286,10 @@
 				.toList();
 			this.loads.report(state.self().vm(), reportedLoads, this.ticker.nanos());
 			this.quotas.report(state.self(), state.uses());
-			List<PhaseChanges.Report> reportedChanges = state.changes()
+			List<RoleChanges.Report> reportedChanges = state.roleChanges()
 				.stream()
-				.map((change) -> new PhaseChanges.Report(change.endpoint(), EndpointPhase.values()[change.phase()],
-						change.leftMillis()))
+				.map((change) -> new RoleChanges.Report(change.endpoint(), EndpointRole.values()[change.role()],
+						change.remainingMillis()))
 				.toList();
 			this.roleChanges.report(reportedChanges, this.ticker.nanos());
 		}
--- a/server/src/main/java/org/banyanstile/server/router/RouterCall.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterCall.java
@@ -183,7 +183,7 @@
 		Map<String, String> headers = new LinkedHashMap<>();
 		for (HeaderValues values : this.exchange.getRequestHeaders()) {
 			String name = values.getHeaderName().toString();
-			if (protocol.isPassedOn(name)) {
+			if (protocol.isForwardedToEndpoint(name)) {
 				headers.put(name, String.join(", ", values));
 			}
 		}
--- a/server/src/main/java/org/banyanstile/server/router/RouterMetrics.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterMetrics.java
@@ -12,7 +12,7 @@
 import io.micrometer.core.instrument.MultiGauge;
 import io.micrometer.core.instrument.Tags;
 import io.micrometer.core.instrument.Timer;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 
 /**
@@ -38,8 +38,8 @@
 	void setUsableEndpoints(Map<String, List<RegisteredEndpoint>> usable) {
 		List<MultiGauge.Row<?>> rows = new ArrayList<>();
 		usable.forEach((service, endpoints) -> {
-			for (EndpointPhase role : EndpointPhase.values()) {
-				long count = endpoints.stream().filter((endpoint) -> endpoint.phase() == role).count();
+			for (EndpointRole role : EndpointRole.values()) {
+				long count = endpoints.stream().filter((endpoint) -> endpoint.role() == role).count();
 				rows.add(MultiGauge.Row.of(Tags.of("service", service, "phase", role.name().toLowerCase(Locale.ROOT)),
 						count));
 			}
--- a/server/src/main/java/org/banyanstile/server/router/RouterServer.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterServer.java
@@ -155,7 +155,7 @@
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		exchange.getResponseSender()
-			.send(ByteBuffer.wrap(this.directory.directoryAnswer(this.callerAddresses.get(), DIRECTORY_TTL)));
+			.send(ByteBuffer.wrap(this.directory.directoryResponse(this.callerAddresses.get(), DIRECTORY_TTL)));
 	}
 
 	private static void text(HttpServerExchange exchange, String body) {
--- a/server/src/main/java/org/banyanstile/server/router/RouterServices.java
+++ b/server/src/main/java/org/banyanstile/server/router/RouterServices.java
@@ -7,16 +7,16 @@
 import java.util.function.IntSupplier;
 
 import io.micrometer.core.instrument.MeterRegistry;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.core.catalog.ServedService;
 import org.banyanstile.core.limit.ColdRate;
 import org.banyanstile.core.limit.RetryShare;
-import org.banyanstile.core.placement.AdmissionLine;
+import org.banyanstile.core.placement.AdmissionQueue;
 import org.banyanstile.core.placement.EndpointHealth;
 import org.banyanstile.core.placement.EndpointLoads;
 import org.banyanstile.core.placement.EndpointPicker;
-import org.banyanstile.core.placement.PhaseChanges;
+import org.banyanstile.core.placement.RoleChanges;
 import org.banyanstile.server.view.FleetView;
 
 /**
@@ -37,7 +37,7 @@
 
 	private final FleetView view;
 
-	private final PhaseChanges roleChanges;
+	private final RoleChanges roleChanges;
 
 	private final RequestProtocol protocol;
 
@@ -57,13 +57,13 @@
 
 	private final RouterMetrics metrics;
 
-	private final Map<String, AdmissionLine> admissionQueues = new ConcurrentHashMap<>();
+	private final Map<String, AdmissionQueue> admissionQueues = new ConcurrentHashMap<>();
 
 	private final Map<String, RetryShare> retryShares = new HashMap<>();
 
 	private final Map<String, ColdRate> coldRates = new HashMap<>();
 
-	RouterServices(RouterSettings settings, FleetView view, PhaseChanges roleChanges, RequestProtocol protocol,
+	RouterServices(RouterSettings settings, FleetView view, RoleChanges roleChanges, RequestProtocol protocol,
 			EngineCalls engineCalls, EndpointLoads loads, EndpointHealth health, EndpointPicker picker,
 			EndpointClient client, IntSupplier vmCount, DecisionLog log, MeterRegistry registry) {
 		this.settings = settings;
@@ -91,7 +91,7 @@
 	 * @param role the role
 	 * @return the engines, without those that are changing their role
 	 */
-	List<RegisteredEndpoint> engines(String service, EndpointPhase role) {
+	List<RegisteredEndpoint> engines(String service, EndpointRole role) {
 		long now = System.nanoTime();
 		return this.view.snapshot()
 			.usable(service, role)
@@ -142,8 +142,8 @@
 		return this.metrics;
 	}
 
-	AdmissionLine admissionQueue(String service) {
-		return this.admissionQueues.computeIfAbsent(service, (name) -> AdmissionLine.create(MAX_RESERVING_REQUESTS));
+	AdmissionQueue admissionQueue(String service) {
+		return this.admissionQueues.computeIfAbsent(service, (name) -> AdmissionQueue.create(MAX_RESERVING_REQUESTS));
 	}
 
 	/**
@@ -174,7 +174,7 @@
 	boolean tryAcquireRetry(String service) {
 		boolean allowed;
 		synchronized (this.retryShares) {
-			allowed = retryShare(service).tryRepeat(this.settings.retryRatio(), this.settings.retryExtra(),
+			allowed = retryShare(service).tryRetry(this.settings.retryRatio(), this.settings.retryExtra(),
 					this.vmCount.getAsInt(), System.nanoTime());
 		}
 		this.metrics.retry(allowed);
--- a/server/src/main/java/org/banyanstile/server/view/FleetReader.java
+++ b/server/src/main/java/org/banyanstile/server/view/FleetReader.java
@@ -115,7 +115,7 @@
 				pause((table == FleetTable.ENDPOINTS) ? ENDPOINT_PAUSE_MILLIS : 0);
 			}
 			catch (HistoryLostException ex) {
-				this.log.belief("history lost", "table", table, "version", this.view.version(table));
+				this.log.stateChange("history lost", "table", table, "version", this.view.version(table));
 				readWhole = true;
 			}
 			catch (TableSourceException ex) {
--- a/server/src/main/java/org/banyanstile/server/view/FleetSnapshot.java
+++ b/server/src/main/java/org/banyanstile/server/view/FleetSnapshot.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 import org.banyanstile.core.catalog.Catalog;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.jspecify.annotations.Nullable;
 
@@ -27,10 +27,10 @@
 	 * @param role their role
 	 * @return the endpoints
 	 */
-	public List<RegisteredEndpoint> usable(String service, EndpointPhase role) {
+	public List<RegisteredEndpoint> usable(String service, EndpointRole role) {
 		return this.usable.getOrDefault(service, List.of())
 			.stream()
-			.filter((endpoint) -> endpoint.phase() == role)
+			.filter((endpoint) -> endpoint.role() == role)
 			.toList();
 	}
 
--- a/server/src/main/java/org/banyanstile/server/view/FleetView.java
+++ b/server/src/main/java/org/banyanstile/server/view/FleetView.java
@@ -159,7 +159,7 @@
 	 */
 	public synchronized MissingRows changesAfter(FleetTable table, long after) {
 		TableReplica replica = replica(table);
-		boolean whole = !replica.remembers(after);
+		boolean whole = !replica.retainsChangesAfter(after);
 		Collection<ReplicaRow> rows = whole ? replica.rows() : replica.changesAfter(after);
 		return new MissingRows(whole, new TableRead(List.copyOf(rows), replica.complete(), replica.storeMillis()));
 	}
@@ -209,7 +209,7 @@
 	private void updateOperator(String key, @Nullable ReplicaRow row) {
 		String dataCentre = this.decoder.evacuatedDataCentre(key);
 		if (dataCentre != null) {
-			this.log.belief("evacuation", "dataCentre", dataCentre, "evacuated", row != null);
+			this.log.stateChange("evacuation", "dataCentre", dataCentre, "evacuated", row != null);
 			return;
 		}
 		if (!this.decoder.isCatalog(key) || row == null || row.value() == null) {
@@ -220,7 +220,7 @@
 			Catalog current = this.catalog;
 			if (current == null || next.version() >= current.version()) {
 				this.catalog = next;
-				this.log.belief("configuration", "version", next.version(), "row", row.version());
+				this.log.stateChange("configuration", "version", next.version(), "row", row.version());
 			}
 		}
 		catch (MalformedRowException ex) {
@@ -258,9 +258,9 @@
 			else {
 				this.coldUntil.remove(id);
 			}
-			if (old == null || old.ready() != endpoint.ready() || old.phase() != endpoint.phase()) {
-				this.log.belief("endpoint", "endpoint", id, "service", endpoint.service(), "ready", endpoint.ready(),
-						"phase", endpoint.phase());
+			if (old == null || old.ready() != endpoint.ready() || old.role() != endpoint.role()) {
+				this.log.stateChange("endpoint", "endpoint", id, "service", endpoint.service(), "ready",
+						endpoint.ready(), "phase", endpoint.role());
 			}
 		}
 		catch (MalformedRowException ex) {
@@ -289,7 +289,7 @@
 				this.endpoints.remove(id);
 				this.coldUntil.remove(id);
 			}
-			this.log.belief("endpoint", "endpoint", id, "service", endpoint.service(), "removed", true, "lapse",
+			this.log.stateChange("endpoint", "endpoint", id, "service", endpoint.service(), "removed", true, "lapse",
 					massExpiry);
 		});
 	}
--- a/server/src/main/java/org/banyanstile/server/view/OrderRow.java
+++ b/server/src/main/java/org/banyanstile/server/view/RoleChangeOwnerRow.java
@@ -7,6 +7,6 @@
  * @param owner name of the VM that wrote it last
  * @author banyanstile contributors
  */
-public record OrderRow(long version, String owner) {
+public record RoleChangeOwnerRow(long version, String owner) {
 
 }
--- a/server/src/main/java/org/banyanstile/server/view/TableSource.java
+++ b/server/src/main/java/org/banyanstile/server/view/TableSource.java
@@ -57,7 +57,7 @@
 	 * @return the row
 	 * @throws TableSourceException if the store did not respond
 	 */
-	OrderRow orderRow() throws TableSourceException;
+	RoleChangeOwnerRow roleChangeOwner() throws TableSourceException;
 
 	/**
 	 * Writes the row that names the owner of role changes, if it still has a version.
@@ -67,6 +67,6 @@
 	 * @throws TableSourceException if the store did not respond, so the outcome is
 	 * unknown
 	 */
-	long writeOrderRow(String vm, long expectedVersion) throws TableSourceException;
+	long writeRoleChangeOwner(String vm, long expectedVersion) throws TableSourceException;
 
 }
--- a/server/src/test/java/org/banyanstile/server/gossip/GossipNodeTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/GossipNodeTests.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 
 import org.banyanstile.core.catalog.Catalog;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.core.common.Ticker;
 import org.banyanstile.server.router.DecisionLog;
@@ -66,9 +66,9 @@
 	void engineThatChangesItsRoleIsKnownToOtherVms() throws Exception {
 		Vm one = start("vm-1");
 		Vm two = start("vm-2", one);
-		GossipChange change = new GossipChange("engine-1", EndpointPhase.PREFILL.ordinal(), 6000);
-		one.changes.add(change);
-		await(() -> two.received.stream().anyMatch((state) -> state.changes().equals(List.of(change))));
+		GossipRoleChange change = new GossipRoleChange("engine-1", EndpointRole.PREFILL.ordinal(), 6000);
+		one.roleChanges.add(change);
+		await(() -> two.received.stream().anyMatch((state) -> state.roleChanges().equals(List.of(change))));
 	}
 
 	@Test
@@ -91,7 +91,7 @@
 
 		private final Membership membership;
 
-		private final List<GossipChange> changes = new CopyOnWriteArrayList<>();
+		private final List<GossipRoleChange> roleChanges = new CopyOnWriteArrayList<>();
 
 		private final List<GossipState> received = new CopyOnWriteArrayList<>();
 
@@ -134,8 +134,8 @@
 		}
 
 		@Override
-		public List<GossipChange> changes() {
-			return List.copyOf(this.changes);
+		public List<GossipRoleChange> roleChanges() {
+			return List.copyOf(this.roleChanges);
 		}
 
 		@Override
--- a/server/src/test/java/org/banyanstile/server/gossip/VmRegistrationTests.java
+++ b/server/src/test/java/org/banyanstile/server/gossip/VmRegistrationTests.java
@@ -7,7 +7,7 @@
 import org.banyanstile.core.membership.RegisteredVms;
 import org.banyanstile.server.router.DecisionLog;
 import org.banyanstile.server.view.FleetTable;
-import org.banyanstile.server.view.OrderRow;
+import org.banyanstile.server.view.RoleChangeOwnerRow;
 import org.banyanstile.server.view.TableRead;
 import org.banyanstile.server.view.TableSource;
 import org.banyanstile.server.view.TableSourceException;
@@ -138,12 +138,12 @@
 		}
 
 		@Override
-		public OrderRow orderRow() {
-			return new OrderRow(0, "");
+		public RoleChangeOwnerRow roleChangeOwner() {
+			return new RoleChangeOwnerRow(0, "");
 		}
 
 		@Override
-		public long writeOrderRow(String vm, long expectedVersion) {
+		public long writeRoleChangeOwner(String vm, long expectedVersion) {
 			return -1;
 		}
 
--- a/server/src/test/java/org/banyanstile/server/view/FleetReaderTests.java
+++ b/server/src/test/java/org/banyanstile/server/view/FleetReaderTests.java
@@ -110,12 +110,12 @@
 		}
 
 		@Override
-		public OrderRow orderRow() {
-			return new OrderRow(0, "");
+		public RoleChangeOwnerRow roleChangeOwner() {
+			return new RoleChangeOwnerRow(0, "");
 		}
 
 		@Override
-		public long writeOrderRow(String vm, long expectedVersion) {
+		public long writeRoleChangeOwner(String vm, long expectedVersion) {
 			return -1;
 		}
 
--- a/server/src/test/java/org/banyanstile/server/view/FleetViewTests.java
+++ b/server/src/test/java/org/banyanstile/server/view/FleetViewTests.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 import org.banyanstile.core.catalog.Catalog;
-import org.banyanstile.core.catalog.EndpointPhase;
+import org.banyanstile.core.catalog.EndpointRole;
 import org.banyanstile.core.catalog.RegisteredEndpoint;
 import org.banyanstile.core.replica.ReplicaRow;
 import org.banyanstile.server.router.DecisionLog;
@@ -52,7 +52,7 @@
 	}
 
 	private List<RegisteredEndpoint> usable() {
-		return this.view.snapshot().usable("desk", EndpointPhase.PLAIN);
+		return this.view.snapshot().usable("desk", EndpointRole.PLAIN);
 	}
 
 	private void removeTogether(int count) {
@@ -180,7 +180,7 @@
 		@Override
 		public RegisteredEndpoint decodeEndpoint(String id, byte[] value) {
 			boolean ready = new String(value, StandardCharsets.UTF_8).equals("ready");
-			return new RegisteredEndpoint(id, "desk", "10.0.0.1:80", "dc1", EndpointPhase.PLAIN, ready, 6, 0);
+			return new RegisteredEndpoint(id, "desk", "10.0.0.1:80", "dc1", EndpointRole.PLAIN, ready, 6, 0);
 		}
 
 	}
