--- a/server/src/main/java/org/banyanstile/server/fleet/FleetClaimService.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetClaimService.java
@@ -25,23 +25,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Once-only claims in the table service. A repeat of a call that another VM runs asks
- * that VM for the outcome.
+ * Claims in the table service on calls that must run at most once. For a repeated request
+ * whose call runs at another VM, it asks that VM for the outcome.
  *
  * @author banyanstile contributors
  */
 public final class FleetClaimService implements ClaimService {
 
-	private static final Duration QUERY = Duration.ofSeconds(1);
+	private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final long POLL_MILLIS = 50;
+	private static final long POLL_INTERVAL_MILLIS = 50;
 
 	/**
-	 * Longest wait of a repeat for the call that runs.
+	 * Longest wait of a repeated request for the running call.
 	 */
-	private static final long WAIT_NANOS = 3_000_000_000L;
+	private static final long MAX_WAIT_NANOS = 3_000_000_000L;
 
-	private static final long RETRY_MILLIS = 500;
+	private static final long RETRY_AFTER_MILLIS = 500;
 
 	private static final String RUNNING = "running";
 
@@ -65,8 +65,8 @@
 	 * Creates the service and registers its message handler.
 	 * @param claims claims of this VM
 	 * @param self gives the slot that this VM holds, or {@code null}
-	 * @param storeReached whether the store answered recently; without it a claim would
-	 * fail with an outcome that needs a read to resolve
+	 * @param storeReached whether the store responded recently; without the store, the
+	 * outcome of a claim would be unknown until a later read
 	 * @param messenger sends messages
 	 * @param handlers handlers of incoming messages
 	 * @return the service
@@ -74,25 +74,25 @@
 	public static FleetClaimService create(OnceOnlyClaims claims, Supplier<@Nullable ClaimHolder> self,
 			BooleanSupplier storeReached, Messenger messenger, MessageHandlers handlers) {
 		FleetClaimService service = new FleetClaimService(claims, self, storeReached, messenger);
-		handlers.register(ClaimQuery.class, service::query);
+		handlers.register(ClaimQuery.class, service::handleQuery);
 		return service;
 	}
 
 	@Override
 	public ClaimDecision claim(ClaimKey key) {
-		long deadline = System.nanoTime() + WAIT_NANOS;
+		long deadline = System.nanoTime() + MAX_WAIT_NANOS;
 		ClaimIdentity identity = new ClaimIdentity(key.team(), key.keyHash());
 		while (true) {
 			ClaimHolder holder = this.self.get();
 			if (holder == null || (!this.storeReached.getAsBoolean() && !this.claims.isLocal(identity))) {
-				return new ClaimDecision.Unavailable(RETRY_MILLIS);
+				return new ClaimDecision.Unavailable(RETRY_AFTER_MILLIS);
 			}
 			ClaimResult result = this.claims.claim(identity, key.bodyHash(), holder);
 			if (result instanceof ClaimResult.Granted granted) {
 				return new ClaimDecision.Run(key, granted.claim());
 			}
 			if (result instanceof ClaimResult.Unclaimed) {
-				return new ClaimDecision.Unavailable(RETRY_MILLIS);
+				return new ClaimDecision.Unavailable(RETRY_AFTER_MILLIS);
 			}
 			if (result instanceof ClaimResult.KeyReused) {
 				return new ClaimDecision.KeyReused();
@@ -101,12 +101,12 @@
 				return new ClaimDecision.Decided(outcome(settled.outcome()));
 			}
 			ClaimHolder running = ((ClaimResult.Running) result).holder();
-			CallOutcome outcome = running.vm().equals(holder.vm()) ? null : ask(running.vm(), key);
+			CallOutcome outcome = running.vm().equals(holder.vm()) ? null : queryHolder(running.vm(), key);
 			if (outcome != null) {
 				return new ClaimDecision.Decided(outcome);
 			}
-			if (System.nanoTime() - deadline >= 0 || !pause()) {
-				return new ClaimDecision.InProgress(RETRY_MILLIS);
+			if (System.nanoTime() - deadline >= 0 || !sleep()) {
+				return new ClaimDecision.InProgress(RETRY_AFTER_MILLIS);
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 		return this.claims.mayHaveRun(new ClaimIdentity(key.team(), key.keyHash()));
 	}
 
-	private static boolean pause() {
+	private static boolean sleep() {
 		try {
-			Thread.sleep(POLL_MILLIS);
+			Thread.sleep(POLL_INTERVAL_MILLIS);
 			return true;
 		}
 		catch (InterruptedException ex) {
@@ -127,10 +127,10 @@
 		}
 	}
 
-	private @Nullable CallOutcome ask(VmId vm, ClaimKey key) {
+	private @Nullable CallOutcome queryHolder(VmId vm, ClaimKey key) {
 		try {
 			ClaimReply reply = this.messenger.request(vm, new ClaimQuery(key.team().name(), key.keyHash()),
-					ClaimReply.class, QUERY);
+					ClaimReply.class, QUERY_TIMEOUT);
 			String body = (reply.body() != null) ? reply.body() : "";
 			StoredAnswer answer = new StoredAnswer(reply.status(), reply.contentType(), body);
 			return switch (reply.state()) {
@@ -146,7 +146,7 @@
 		}
 	}
 
-	private Record query(VmId from, ClaimQuery query) {
+	private Record handleQuery(VmId from, ClaimQuery query) {
 		ClaimHolder holder = this.self.get();
 		ClaimOutcome outcome = (holder != null)
 				? this.claims.query(new ClaimIdentity(TeamId.of(query.team()), query.keyHash()), holder) : null;
@@ -168,7 +168,7 @@
 	}
 
 	/**
-	 * Stores outcomes that could not be stored before. Call it each second.
+	 * Stores outcomes that could not be stored before. Must be called every second.
 	 */
 	public void writeRetained() {
 		this.claims.writeRetained();
--- a/server/src/main/java/org/banyanstile/server/fleet/FleetSlotSource.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetSlotSource.java
@@ -25,19 +25,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Slots granted by the owners of pools. Without an owner that can be reached, this VM
- * uses its share of each endpoint's capacity.
+ * Endpoint slots granted by the owners of pools. If the owner of a pool is unknown,
+ * unreachable or not ready, this VM uses its own share of each endpoint's capacity.
  *
  * @author banyanstile contributors
  */
 public final class FleetSlotSource implements SlotSource {
 
 	/**
-	 * Longest wait for a reply beyond the deadline of the request.
+	 * Time added to the deadline of the request when waiting for the reply.
 	 */
-	private static final long REPLY_MILLIS = 200;
+	private static final long REPLY_MARGIN_MILLIS = 200;
 
-	private static final long RETRY_MILLIS = 250;
+	private static final long RETRY_AFTER_MILLIS = 250;
 
 	private final Ownership ownership;
 
@@ -49,9 +49,9 @@
 
 	private final SlotSource fallback;
 
-	private final Map<String, CompletableFuture<SlotReply>> waiting = new ConcurrentHashMap<>();
+	private final Map<String, CompletableFuture<SlotReply>> pendingReplies = new ConcurrentHashMap<>();
 
-	private final Set<String> local = ConcurrentHashMap.newKeySet();
+	private final Set<String> locallyGranted = ConcurrentHashMap.newKeySet();
 
 	private FleetSlotSource(Ownership ownership, Messenger messenger, ConfigurationView configuration,
 			PoolOwner ownPools, SlotSource fallback) {
@@ -68,7 +68,7 @@
 	 * @param messenger sends messages
 	 * @param configuration the configuration
 	 * @param ownPools pools that this VM owns
-	 * @param fallback used without an owner
+	 * @param fallback used if the owner is unknown, unreachable or not ready
 	 * @param handlers handlers of incoming messages
 	 * @return the source
 	 */
@@ -76,21 +76,21 @@
 			PoolOwner ownPools, SlotSource fallback, MessageHandlers handlers) {
 		FleetSlotSource source = new FleetSlotSource(ownership, messenger, configuration, ownPools, fallback);
 		handlers.registerInline(SlotReply.class, (from, reply) -> {
-			source.replied(from, reply);
+			source.handleReply(from, reply);
 			return null;
 		});
-		ownPools.setOwnReplies((reply) -> source.replied(ownership.self(), reply));
+		ownPools.setLocalReplyReceiver((reply) -> source.handleReply(ownership.self(), reply));
 		return source;
 	}
 
-	private void replied(VmId from, SlotReply reply) {
-		CompletableFuture<SlotReply> future = this.waiting.remove(key(reply.pool(), reply.requestId()));
+	private void handleReply(VmId from, SlotReply reply) {
+		CompletableFuture<SlotReply> future = this.pendingReplies.remove(key(reply.pool(), reply.requestId()));
 		String endpoint = reply.endpoint();
 		if (future != null) {
 			future.complete(reply);
 		}
 		else if (endpoint != null) {
-			tell(from, new SlotRelease(reply.pool(), reply.requestId(), endpoint, SlotOutcome.CANCELLED.name()));
+			send(from, new SlotRelease(reply.pool(), reply.requestId(), endpoint, SlotOutcome.CANCELLED.name()));
 		}
 	}
 
@@ -104,7 +104,7 @@
 			return new SlotDecision.Crashing();
 		}
 		VmId owner = this.ownership.ownerOf(demand.pool().partition());
-		SlotReply reply = (owner != null) ? ask(owner, demand) : null;
+		SlotReply reply = (owner != null) ? requestSlot(owner, demand) : null;
 		if (reply == null || SlotReply.NOT_READY.equals(reply.refusal())) {
 			return acquireLocally(demand);
 		}
@@ -113,7 +113,7 @@
 		}
 		EndpointTarget target = target(demand.pool(), reply.endpoint());
 		if (target == null) {
-			return new SlotDecision.Overloaded(Math.max(RETRY_MILLIS, reply.retryAfterMillis()));
+			return new SlotDecision.Overloaded(Math.max(RETRY_AFTER_MILLIS, reply.retryAfterMillis()));
 		}
 		return new SlotDecision.Granted(demand.pool(), demand.requestId(), target);
 	}
@@ -121,38 +121,38 @@
 	private SlotDecision acquireLocally(SlotDemand demand) {
 		SlotDecision decision = this.fallback.acquire(demand);
 		if (decision instanceof SlotDecision.Granted) {
-			this.local.add(key(demand.pool().name(), demand.requestId()));
+			this.locallyGranted.add(key(demand.pool().name(), demand.requestId()));
 		}
 		return decision;
 	}
 
-	private @Nullable SlotReply ask(VmId owner, SlotDemand demand) {
+	private @Nullable SlotReply requestSlot(VmId owner, SlotDemand demand) {
 		String pool = demand.pool().name();
 		String key = key(pool, demand.requestId());
 		CompletableFuture<SlotReply> future = new CompletableFuture<>();
-		this.waiting.put(key, future);
+		this.pendingReplies.put(key, future);
 		SlotRequest request = new SlotRequest(pool, demand.team().name(), demand.cost(), demand.requestId(),
 				demand.fingerprint(), demand.deadlineMillis(),
 				demand.excluded().stream().map(EndpointId::name).toList());
-		if (!tell(owner, request)) {
-			this.waiting.remove(key);
+		if (!send(owner, request)) {
+			this.pendingReplies.remove(key);
 			return null;
 		}
 		try {
-			return future.get(demand.deadlineMillis() + REPLY_MILLIS, TimeUnit.MILLISECONDS);
+			return future.get(demand.deadlineMillis() + REPLY_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
 		}
 		catch (TimeoutException | ExecutionException ex) {
-			this.waiting.remove(key);
-			tell(owner, new SlotRelease(pool, demand.requestId(), "", SlotOutcome.CANCELLED.name()));
+			this.pendingReplies.remove(key);
+			send(owner, new SlotRelease(pool, demand.requestId(), "", SlotOutcome.CANCELLED.name()));
 			return null;
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			return new SlotReply(pool, demand.requestId(), null, SlotReply.OVERLOADED, RETRY_MILLIS);
+			return new SlotReply(pool, demand.requestId(), null, SlotReply.OVERLOADED, RETRY_AFTER_MILLIS);
 		}
 	}
 
-	private boolean tell(VmId owner, Record message) {
+	private boolean send(VmId owner, Record message) {
 		if (!owner.equals(this.ownership.self())) {
 			return this.messenger.send(owner, message);
 		}
@@ -181,18 +181,18 @@
 	public void renew(SlotDecision.Granted slot) {
 		VmId owner = this.ownership.ownerOf(slot.pool().partition());
 		if (owner != null) {
-			tell(owner, new SlotRenew(slot.pool().name(), slot.requestId(), slot.endpoint().id().name()));
+			send(owner, new SlotRenew(slot.pool().name(), slot.requestId(), slot.endpoint().id().name()));
 		}
 	}
 
 	@Override
 	public void release(SlotDecision.Granted slot, SlotOutcome outcome) {
-		if (this.local.remove(key(slot.pool().name(), slot.requestId()))) {
+		if (this.locallyGranted.remove(key(slot.pool().name(), slot.requestId()))) {
 			this.fallback.release(slot, outcome);
 		}
 		VmId owner = this.ownership.ownerOf(slot.pool().partition());
 		if (owner != null) {
-			tell(owner,
+			send(owner,
 					new SlotRelease(slot.pool().name(), slot.requestId(), slot.endpoint().id().name(), outcome.name()));
 		}
 	}
--- a/server/src/main/java/org/banyanstile/server/fleet/FleetStreamDirectory.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetStreamDirectory.java
@@ -24,18 +24,19 @@
 
 /**
  * Directory of running requests, kept by the owners of the {@code request/} partitions.
- * While a partition has no owner that can be reached, its requests cannot be taken over.
+ * While the owner of a partition is unknown or unreachable, its requests cannot be taken
+ * over.
  *
  * @author banyanstile contributors
  */
 public final class FleetStreamDirectory implements StreamDirectory {
 
-	private static final Duration LOOKUP = Duration.ofMillis(300);
+	private static final Duration LOOKUP_TIMEOUT = Duration.ofMillis(300);
 
 	/**
-	 * Longer than a VM takes to end a superseded request.
+	 * Longer than a VM needs to end a superseded request.
 	 */
-	private static final Duration TAKEOVER = Duration.ofSeconds(4);
+	private static final Duration TAKEOVER_TIMEOUT = Duration.ofSeconds(4);
 
 	private final Ownership ownership;
 
@@ -45,7 +46,7 @@
 
 	private final RequestTable table = new RequestTable();
 
-	private final Map<StreamKey, Announced> mine = new ConcurrentHashMap<>();
+	private final Map<StreamKey, Announcement> announcements = new ConcurrentHashMap<>();
 
 	private FleetStreamDirectory(Ownership ownership, Messenger messenger, RunningStreams running) {
 		this.ownership = ownership;
@@ -64,11 +65,12 @@
 	public static FleetStreamDirectory create(Ownership ownership, Messenger messenger, RunningStreams running,
 			MessageHandlers handlers) {
 		FleetStreamDirectory directory = new FleetStreamDirectory(ownership, messenger, running);
-		// Inline, because workers could handle a withdrawal before the announcement.
-		handlers.registerInline(StreamLookup.class, directory::lookUp);
-		handlers.registerInline(StreamAnnounce.class, directory::announced);
-		handlers.registerInline(StreamWithdraw.class, directory::withdrawn);
-		handlers.register(StreamTakeover.class, directory::surrender);
+		// Inline to keep their order: workers could handle a withdrawal before the
+		// announcement.
+		handlers.registerInline(StreamLookup.class, directory::handleLookup);
+		handlers.registerInline(StreamAnnounce.class, directory::handleAnnounce);
+		handlers.registerInline(StreamWithdraw.class, directory::handleWithdraw);
+		handlers.register(StreamTakeover.class, directory::handleTakeover);
 		return directory;
 	}
 
@@ -79,16 +81,17 @@
 			return new TakeoverResult.NotRunning();
 		}
 		StreamLookup lookup = new StreamLookup(key.team().name(), key.keyHash(), bodyHash);
-		StreamFound found = (owner.equals(this.ownership.self())) ? found(key, owner, bodyHash)
-				: ask(owner, lookup, LOOKUP);
+		StreamFound found = (owner.equals(this.ownership.self())) ? enterRequest(key, owner, bodyHash)
+				: request(owner, lookup, LOOKUP_TIMEOUT);
 		if (found == null || found.vm() == null || found.vm().equals(this.ownership.self().name())) {
 			return new TakeoverResult.NotRunning();
 		}
 		if (!bodyHash.equals(found.bodyHash())) {
 			return new TakeoverResult.OtherBody();
 		}
-		StreamFound left = ask(VmId.of(found.vm()), new StreamTakeover(lookup.team(), lookup.keyHash()), TAKEOVER);
-		return result((left != null) ? left : found, bodyHash);
+		StreamFound handedOver = request(VmId.of(found.vm()), new StreamTakeover(lookup.team(), lookup.keyHash()),
+				TAKEOVER_TIMEOUT);
+		return result((handedOver != null) ? handedOver : found, bodyHash);
 	}
 
 	private static TakeoverResult result(StreamFound found, String bodyHash) {
@@ -100,7 +103,7 @@
 		return new TakeoverResult.Taken(new StreamLocation(requestId, EndpointId.of(endpoint), bodyHash));
 	}
 
-	private @Nullable StreamFound ask(VmId vm, Record message, Duration timeout) {
+	private @Nullable StreamFound request(VmId vm, Record message, Duration timeout) {
 		try {
 			return this.messenger.request(vm, message, StreamFound.class, timeout);
 		}
@@ -111,17 +114,17 @@
 
 	@Override
 	public void announce(StreamKey key, StreamLocation location) {
-		Announced announced = new Announced(location);
-		this.mine.put(key, announced);
-		announce(key, announced);
+		Announcement announcement = new Announcement(location);
+		this.announcements.put(key, announcement);
+		announce(key, announcement);
 	}
 
-	private void announce(StreamKey key, Announced announced) {
+	private void announce(StreamKey key, Announcement announcement) {
 		VmId owner = this.ownership.ownerOf(Partitions.request(key));
-		if (owner == null || owner.equals(announced.owner)) {
+		if (owner == null || owner.equals(announcement.owner)) {
 			return;
 		}
-		StreamLocation location = announced.location;
+		StreamLocation location = announcement.location;
 		boolean sent = true;
 		if (owner.equals(this.ownership.self())) {
 			this.table.announce(key, owner, location);
@@ -130,20 +133,20 @@
 			sent = this.messenger.send(owner, new StreamAnnounce(key.team().name(), key.keyHash(), location.requestId(),
 					location.endpoint().name(), location.bodyHash()));
 		}
-		announced.owner = sent ? owner : null;
+		announcement.owner = sent ? owner : null;
 	}
 
 	/**
-	 * Announces the requests of this VM to owners that do not know them yet. Call it
-	 * every few seconds.
+	 * Announces the requests of this VM to owners that have not received them yet. Must
+	 * be called every few seconds.
 	 */
 	public void announceAgain() {
-		this.mine.forEach(this::announce);
+		this.announcements.forEach(this::announce);
 	}
 
 	@Override
 	public void withdraw(StreamKey key) {
-		this.mine.remove(key);
+		this.announcements.remove(key);
 		VmId owner = this.ownership.ownerOf(Partitions.request(key));
 		if (owner == null) {
 			return;
@@ -156,8 +159,8 @@
 		}
 	}
 
-	private StreamFound found(StreamKey key, VmId from, String bodyHash) {
-		RequestTable.Entry entry = this.table.enter(key, from, bodyHash);
+	private StreamFound enterRequest(StreamKey key, VmId from, String bodyHash) {
+		RequestTable.Entry entry = this.table.setServingVm(key, from, bodyHash);
 		if (entry == null) {
 			return StreamFound.none();
 		}
@@ -166,27 +169,27 @@
 				(location != null) ? location.endpoint().name() : null, entry.vm().name(), entry.bodyHash());
 	}
 
-	private Record lookUp(VmId from, StreamLookup message) {
+	private Record handleLookup(VmId from, StreamLookup message) {
 		StreamKey key = new StreamKey(TeamId.of(message.team()), message.keyHash());
 		if (this.ownership.tokenOf(Partitions.request(key)) == 0) {
 			return new Failure("not the owner");
 		}
-		return found(key, from, message.bodyHash());
+		return enterRequest(key, from, message.bodyHash());
 	}
 
-	private @Nullable Record announced(VmId from, StreamAnnounce message) {
+	private @Nullable Record handleAnnounce(VmId from, StreamAnnounce message) {
 		StreamKey key = new StreamKey(TeamId.of(message.team()), message.keyHash());
 		this.table.announce(key, from,
 				new StreamLocation(message.requestId(), EndpointId.of(message.endpoint()), message.bodyHash()));
 		return null;
 	}
 
-	private @Nullable Record withdrawn(VmId from, StreamWithdraw message) {
+	private @Nullable Record handleWithdraw(VmId from, StreamWithdraw message) {
 		this.table.withdraw(new StreamKey(TeamId.of(message.team()), message.keyHash()), from);
 		return null;
 	}
 
-	private Record surrender(VmId from, StreamTakeover message) {
+	private Record handleTakeover(VmId from, StreamTakeover message) {
 		StreamKey key = new StreamKey(TeamId.of(message.team()), message.keyHash());
 		StreamLocation location = this.running.surrender(key);
 		if (location == null) {
@@ -197,17 +200,17 @@
 	}
 
 	/**
-	 * A request of this VM and the owner that knows it.
+	 * A request of this VM and the owner that it was announced to.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private static final class Announced {
+	private static final class Announcement {
 
 		private final StreamLocation location;
 
 		private volatile @Nullable VmId owner;
 
-		private Announced(StreamLocation location) {
+		private Announcement(StreamLocation location) {
 			this.location = location;
 		}
 
--- a/server/src/main/java/org/banyanstile/server/fleet/FleetTeamLimiter.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetTeamLimiter.java
@@ -24,8 +24,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Rates and bursts over the whole fleet: grants of the owner of the team, and this VM's
- * floor while the owner cannot be reached.
+ * Enforces the rate and burst of each team over the whole fleet: with grants of the owner
+ * of the team's bucket, or with this VM's floor while the owner cannot be reached.
  *
  * @author banyanstile contributors
  */
@@ -33,7 +33,7 @@
 
 	private static final Duration GRANT_TIMEOUT = Duration.ofMillis(300);
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	private final Ownership ownership;
 
@@ -63,7 +63,7 @@
 	/**
 	 * Creates the limiter and registers its message handlers.
 	 * @param ownership owners of partitions
-	 * @param slots slots of VMs
+	 * @param slots the VM slots
 	 * @param messenger sends messages
 	 * @param slotCount number of VM slots
 	 * @param ticker time source
@@ -73,9 +73,9 @@
 	public static FleetTeamLimiter create(Ownership ownership, SlotView slots, Messenger messenger, int slotCount,
 			Ticker ticker, MessageHandlers handlers) {
 		FleetTeamLimiter limiter = new FleetTeamLimiter(ownership, slots, messenger, slotCount, ticker);
-		handlers.registerInline(GrantRequest.class, limiter::grant);
-		handlers.registerInline(FloorQuery.class, limiter::promise);
-		handlers.registerInline(FloorPromise.class, limiter::promised);
+		handlers.registerInline(GrantRequest.class, limiter::handleGrantRequest);
+		handlers.registerInline(FloorQuery.class, limiter::handleFloorQuery);
+		handlers.registerInline(FloorPromise.class, limiter::handleFloorPromise);
 		return limiter;
 	}
 
@@ -94,7 +94,8 @@
 	}
 
 	/**
-	 * Follows changes of slot and ownership and asks for promises. Call it each second.
+	 * Applies changes of the VM slot and of ownership, and asks the other VMs for floor
+	 * promises. Must be called every second.
 	 */
 	public void update() {
 		long now = this.ticker.nanos();
@@ -142,7 +143,7 @@
 	public LimitDecision reserve(TeamId team, long tokens) {
 		ReserveResult result = this.limits.reserve(team, tokens, this.ticker.nanos());
 		if (result instanceof ReserveResult.GrantNeeded needed) {
-			result = ask(team, tokens, needed);
+			result = requestGrant(team, tokens, needed);
 		}
 		if (result instanceof ReserveResult.Reserved reserved) {
 			return new LimitDecision.Reserved(team, tokens, reserved.reservation());
@@ -150,13 +151,13 @@
 		if (result instanceof ReserveResult.RefusedPermanently refused) {
 			return new LimitDecision.TooLarge((long) refused.burstTokens());
 		}
-		long nanos = (result instanceof ReserveResult.Refused refused) ? refused.retryAfterNanos() : MILLI;
-		return new LimitDecision.Limited(Math.max(1, (nanos + MILLI - 1) / MILLI));
+		long nanos = (result instanceof ReserveResult.Refused refused) ? refused.retryAfterNanos() : NANOS_PER_MILLI;
+		return new LimitDecision.Limited(Math.max(1, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI));
 	}
 
-	private ReserveResult ask(TeamId team, long tokens, ReserveResult.GrantNeeded needed) {
+	private ReserveResult requestGrant(TeamId team, long tokens, ReserveResult.GrantNeeded needed) {
 		long sentAt = this.ticker.nanos();
-		GrantReply reply = ask(needed);
+		GrantReply reply = requestGrant(needed);
 		long now = this.ticker.nanos();
 		if (reply != null) {
 			this.limits.grantReceived(team, reply, sentAt, now);
@@ -164,7 +165,7 @@
 		return this.limits.reserveAvailable(team, tokens, reply, now);
 	}
 
-	private @Nullable GrantReply ask(ReserveResult.GrantNeeded needed) {
+	private @Nullable GrantReply requestGrant(ReserveResult.GrantNeeded needed) {
 		VmId owner = this.ownership.ownerOf(Partitions.team(needed.partition()));
 		if (owner == null) {
 			return null;
@@ -185,12 +186,12 @@
 		this.limits.settle((Reservation) reservation.handle(), Math.min(usedTokens, reservation.tokens()));
 	}
 
-	private Record grant(VmId from, GrantRequest request) {
+	private Record handleGrantRequest(VmId from, GrantRequest request) {
 		GrantReply reply = this.owners.grant(request, this.ticker.nanos());
 		return (reply != null) ? reply : new Failure("not the owner");
 	}
 
-	private @Nullable Record promise(VmId from, FloorQuery query) {
+	private @Nullable Record handleFloorQuery(VmId from, FloorQuery query) {
 		int slot = this.slots.slot();
 		if (slot != SlotView.NO_SLOT) {
 			suspendFloors(query.partitions(), this.ticker.nanos());
@@ -199,7 +200,7 @@
 		return null;
 	}
 
-	private @Nullable Record promised(VmId from, FloorPromise promise) {
+	private @Nullable Record handleFloorPromise(VmId from, FloorPromise promise) {
 		long now = this.ticker.nanos();
 		if (promise.sentAt() <= now) {
 			this.owners.promised(promise, now);
--- a/server/src/main/java/org/banyanstile/server/fleet/OwnedPool.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/OwnedPool.java
@@ -19,7 +19,7 @@
 import org.banyanstile.server.vm.SlotRequest;
 
 /**
- * A pool that this VM owns: its broker, and the requests that wait for a decision.
+ * A pool that this VM owns: its slot broker and the requests queued for a decision.
  *
  * @author banyanstile contributors
  */
@@ -33,9 +33,9 @@
 
 	private final CrashAttribution attribution;
 
-	private final InFlight flights;
+	private final InFlightRequests inFlight;
 
-	private final Map<String, Waiting> waiting = new ConcurrentHashMap<>();
+	private final Map<String, QueuedRequest> queued = new ConcurrentHashMap<>();
 
 	private volatile boolean ready;
 
@@ -43,7 +43,7 @@
 		this.name = name;
 		this.token = token;
 		this.attribution = attribution;
-		this.flights = new InFlight(attribution);
+		this.inFlight = new InFlightRequests(attribution);
 	}
 
 	long token() {
@@ -62,23 +62,24 @@
 		this.ready = true;
 	}
 
-	List<Answer> request(VmId from, SlotRequest request, int weight, long now) {
+	List<PendingReply> request(VmId from, SlotRequest request, int weight, long now) {
 		Fingerprint fingerprint = new Fingerprint(TeamId.of(request.team()), request.fingerprint());
 		if (this.attribution.isRefused(fingerprint, now)) {
-			return List.of(new Answer(from, refusal(request.requestId(), SlotReply.CRASHES, 0)));
+			return List.of(new PendingReply(from, refusal(request.requestId(), SlotReply.CRASHES, 0)));
 		}
 		boolean isolated = this.attribution.isSuspect(fingerprint, now);
-		this.waiting.put(request.requestId(), new Waiting(from, fingerprint, isolated));
-		// The broker refuses a request whose wait is over before it looks for a slot.
+		this.queued.put(request.requestId(), new QueuedRequest(from, fingerprint, isolated));
+		// The broker refuses a request past its deadline before it looks for a slot, so a
+		// request that must not wait gets 1 ns.
 		long waitNanos = Math.max(1, request.deadlineMillis() * 1_000_000);
-		List<Answer> answers = new ArrayList<>(
-				answers(this.broker.request(demand(from, request, weight, waitNanos, isolated), now)));
-		if (request.deadlineMillis() == 0 && this.waiting.remove(request.requestId()) != null) {
-			answers.addAll(answers(this.broker.release(request.requestId(),
+		List<PendingReply> replies = new ArrayList<>(
+				replies(this.broker.request(demand(from, request, weight, waitNanos, isolated), now)));
+		if (request.deadlineMillis() == 0 && this.queued.remove(request.requestId()) != null) {
+			replies.addAll(replies(this.broker.release(request.requestId(),
 					org.banyanstile.core.admission.SlotOutcome.CANCELLED, now)));
-			answers.add(new Answer(from, refusal(request.requestId(), SlotReply.OVERLOADED, 0)));
+			replies.add(new PendingReply(from, refusal(request.requestId(), SlotReply.OVERLOADED, 0)));
 		}
-		return answers;
+		return replies;
 	}
 
 	private static org.banyanstile.core.admission.SlotRequest demand(VmId from, SlotRequest request, int weight,
@@ -89,34 +90,34 @@
 	}
 
 	/**
-	 * Turns decisions into replies.
+	 * Converts decisions to replies.
 	 * @param decisions decisions of the broker
 	 * @return the replies to send
 	 */
-	List<Answer> answers(List<SlotDecision> decisions) {
-		List<Answer> answers = new ArrayList<>();
+	List<PendingReply> replies(List<SlotDecision> decisions) {
+		List<PendingReply> replies = new ArrayList<>();
 		for (SlotDecision decision : decisions) {
-			Waiting request = this.waiting.remove(decision.requestId());
+			QueuedRequest request = this.queued.remove(decision.requestId());
 			if (request == null) {
 				continue;
 			}
 			if (decision instanceof SlotDecision.Granted granted) {
-				this.flights.started(granted.endpoint(), granted.requestId(), request.fingerprint(),
+				this.inFlight.started(granted.endpoint(), granted.requestId(), request.fingerprint(),
 						request.isolated());
-				answers.add(new Answer(request.vm(),
+				replies.add(new PendingReply(request.vm(),
 						new SlotReply(this.name, granted.requestId(), granted.endpoint().name(), null, 0)));
 			}
 			else if (decision instanceof SlotDecision.Refused refused) {
-				answers.add(new Answer(request.vm(),
+				replies.add(new PendingReply(request.vm(),
 						refusal(refused.requestId(), SlotReply.OVERLOADED, refused.retryAfterNanos() / 1_000_000)));
 			}
 		}
-		return answers;
+		return replies;
 	}
 
-	List<Answer> release(String requestId, SlotOutcome outcome, long now) {
-		this.waiting.remove(requestId);
-		return answers(this.broker.release(requestId, switch (outcome) {
+	List<PendingReply> release(String requestId, SlotOutcome outcome, long now) {
+		this.queued.remove(requestId);
+		return replies(this.broker.release(requestId, switch (outcome) {
 			case COMPLETED -> org.banyanstile.core.admission.SlotOutcome.COMPLETED;
 			case CANCELLED -> org.banyanstile.core.admission.SlotOutcome.CANCELLED;
 			case FAILED, BROKEN -> org.banyanstile.core.admission.SlotOutcome.FAILED;
@@ -125,7 +126,7 @@
 
 	Optional<Fingerprint> ended(String requestId, String endpoint, SlotOutcome outcome, long now) {
 		return endpoint.isEmpty() ? Optional.empty()
-				: this.flights.ended(EndpointId.of(endpoint), requestId, outcome, now);
+				: this.inFlight.ended(EndpointId.of(endpoint), requestId, outcome, now);
 	}
 
 	private SlotReply refusal(String requestId, String reason, long retryAfterMillis) {
@@ -139,19 +140,19 @@
 	 * @param reply the reply
 	 * @author banyanstile contributors
 	 */
-	record Answer(VmId vm, SlotReply reply) {
+	record PendingReply(VmId vm, SlotReply reply) {
 
 	}
 
 	/**
-	 * A request that waits for a decision.
+	 * A request queued for a decision.
 	 *
-	 * @param vm the VM that asks
+	 * @param vm the VM that sent it
 	 * @param fingerprint its fingerprint
 	 * @param isolated whether it must run alone
 	 * @author banyanstile contributors
 	 */
-	private record Waiting(VmId vm, Fingerprint fingerprint, boolean isolated) {
+	private record QueuedRequest(VmId vm, Fingerprint fingerprint, boolean isolated) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/fleet/PoolOwner.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/PoolOwner.java
@@ -41,7 +41,7 @@
 
 	private final Map<Pool, OwnedPool> pools = new ConcurrentHashMap<>();
 
-	private volatile Consumer<SlotReply> ownReplies = (reply) -> {
+	private volatile Consumer<SlotReply> localReplyReceiver = (reply) -> {
 	};
 
 	private PoolOwner(Ownership ownership, Messenger messenger, ConfigurationView configuration, Ticker ticker) {
@@ -53,13 +53,13 @@
 	}
 
 	/**
-	 * Creates the owner side and registers its message handlers.
+	 * Creates the owner of pools and registers its message handlers.
 	 * @param ownership owners of partitions
 	 * @param messenger sends messages
 	 * @param configuration the configuration
 	 * @param ticker time source
 	 * @param handlers handlers of incoming messages
-	 * @return the owner side
+	 * @return the owner of pools
 	 */
 	public static PoolOwner create(Ownership ownership, Messenger messenger, ConfigurationView configuration,
 			Ticker ticker, MessageHandlers handlers) {
@@ -67,23 +67,23 @@
 		handlers.registerInline(SlotRequest.class, owner::request);
 		handlers.registerInline(SlotRelease.class, owner::release);
 		handlers.registerInline(SlotRenew.class, owner::renew);
-		handlers.registerInline(CrashVerdict.class, owner::verdict);
+		handlers.registerInline(CrashVerdict.class, owner::handleCrashVerdict);
 		return owner;
 	}
 
 	/**
-	 * Sets what receives the replies to requests of this VM itself.
+	 * Sets the receiver of the replies to requests of this VM itself.
 	 * @param receiver the receiver
 	 */
-	void setOwnReplies(Consumer<SlotReply> receiver) {
-		this.ownReplies = receiver;
+	void setLocalReplyReceiver(Consumer<SlotReply> receiver) {
+		this.localReplyReceiver = receiver;
 	}
 
 	@Nullable
 	Record request(VmId from, SlotRequest request) {
 		OwnedPool pool = owned(Pool.parse(request.pool()));
 		if (pool == null || !pool.isReady()) {
-			send(List.of(new OwnedPool.Answer(from,
+			send(List.of(new OwnedPool.PendingReply(from,
 					new SlotReply(request.pool(), request.requestId(), null, SlotReply.NOT_READY, 0))));
 			return null;
 		}
@@ -117,7 +117,7 @@
 		return null;
 	}
 
-	private @Nullable Record verdict(VmId from, CrashVerdict verdict) {
+	private @Nullable Record handleCrashVerdict(VmId from, CrashVerdict verdict) {
 		String[] parts = verdict.fingerprint().split("/", 2);
 		if (parts.length == 2) {
 			this.attribution.verdictReceived(new Fingerprint(TeamId.of(parts[0]), parts[1]),
@@ -152,22 +152,22 @@
 				: new OwnedPool(pool.name(), token, this.attribution));
 	}
 
-	void send(List<OwnedPool.Answer> answers) {
-		for (OwnedPool.Answer answer : answers) {
-			if (answer.vm().equals(this.ownership.self())) {
-				this.ownReplies.accept(answer.reply());
+	void send(List<OwnedPool.PendingReply> replies) {
+		for (OwnedPool.PendingReply pending : replies) {
+			if (pending.vm().equals(this.ownership.self())) {
+				this.localReplyReceiver.accept(pending.reply());
 			}
 			else {
-				this.messenger.send(answer.vm(), answer.reply());
+				this.messenger.send(pending.vm(), pending.reply());
 			}
 		}
 	}
 
 	/**
-	 * Refuses requests that have waited long enough. Call it every 20 ms.
+	 * Refuses queued requests that are past their deadline. Must be called every 20 ms.
 	 */
 	public void expire() {
-		this.pools.values().forEach((pool) -> send(pool.answers(pool.broker().tick(this.ticker.nanos()))));
+		this.pools.values().forEach((pool) -> send(pool.replies(pool.broker().tick(this.ticker.nanos()))));
 	}
 
 }
--- a/server/src/main/java/org/banyanstile/server/fleet/PoolReconciler.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/PoolReconciler.java
@@ -22,21 +22,21 @@
 import org.banyanstile.server.endpoint.EngineStream;
 
 /**
- * Compares the owned pools with their endpoints: applies the configuration, lists the
- * streams of engines, and cancels streams whose VM is gone.
+ * Aligns the owned pools with their endpoints: applies the configuration, lists the
+ * streams of engines, and cancels streams whose VM holds no VM slot any more.
  *
  * @author banyanstile contributors
  */
 public final class PoolReconciler {
 
 	/**
-	 * Time for another VM to take over a stream whose VM is gone.
+	 * Time for another VM to take over a stream whose VM holds no VM slot any more.
 	 */
-	private static final long ORPHAN_NANOS = 5_000_000_000L;
+	private static final long ORPHAN_GRACE_NANOS = 5_000_000_000L;
 
 	private final PoolOwner owner;
 
-	private final SlotView vms;
+	private final SlotView slots;
 
 	private final Ownership ownership;
 
@@ -48,24 +48,24 @@
 
 	private final Ticker ticker;
 
-	private final Map<String, Long> orphans = new HashMap<>();
+	private final Map<String, Long> orphanedSince = new HashMap<>();
 
-	private Set<VmId> holders = Set.of();
+	private Set<VmId> slotHolders = Set.of();
 
 	/**
 	 * Creates a reconciler.
 	 * @param owner the owned pools
-	 * @param vms slots of VMs
+	 * @param slots the VM slots
 	 * @param ownership owners of partitions
 	 * @param configuration the configuration
 	 * @param engine client for engines
 	 * @param canceller cancels at engines
 	 * @param ticker time source
 	 */
-	public PoolReconciler(PoolOwner owner, SlotView vms, Ownership ownership, ConfigurationView configuration,
+	public PoolReconciler(PoolOwner owner, SlotView slots, Ownership ownership, ConfigurationView configuration,
 			EngineClient engine, EngineCanceller canceller, Ticker ticker) {
 		this.owner = owner;
-		this.vms = vms;
+		this.slots = slots;
 		this.ownership = ownership;
 		this.configuration = configuration;
 		this.engine = engine;
@@ -74,63 +74,64 @@
 	}
 
 	/**
-	 * Reconciles all owned pools. Call it every 2 s from one thread.
+	 * Reconciles all owned pools. Must be called every 2 s, always from one thread.
 	 */
 	public void reconcile() {
 		Map<Pool, List<EndpointTarget>> pools = this.configuration.current()
 			.endpoints()
 			.stream()
 			.collect(Collectors.groupingBy(EndpointTarget::pool));
-		Set<VmId> gone = new HashSet<>(this.holders);
-		this.holders = Set.copyOf(this.vms.holders());
-		gone.removeAll(this.holders);
+		Set<VmId> removedVms = new HashSet<>(this.slotHolders);
+		this.slotHolders = Set.copyOf(this.slots.holders());
+		removedVms.removeAll(this.slotHolders);
 		Set<String> seen = new HashSet<>();
 		pools.forEach((pool, targets) -> {
 			OwnedPool owned = this.owner.owned(pool);
 			if (owned != null) {
-				reconcile(owned, targets, gone, seen);
+				reconcile(owned, targets, removedVms, seen);
 			}
 		});
-		this.orphans.keySet().retainAll(seen);
+		this.orphanedSince.keySet().retainAll(seen);
 	}
 
-	private void reconcile(OwnedPool owned, List<EndpointTarget> targets, Set<VmId> gone, Set<String> seen) {
+	private void reconcile(OwnedPool owned, List<EndpointTarget> targets, Set<VmId> removedVms, Set<String> seen) {
 		List<Candidate> candidates = targets.stream()
 			.filter(EndpointTarget::active)
 			.map((target) -> new Candidate(target.id(), target.slots()))
 			.toList();
-		this.owner.send(owned.answers(owned.broker().configure(candidates, this.ticker.nanos())));
-		gone.forEach((vm) -> this.owner.send(owned.answers(owned.broker().vmGone(vm, this.ticker.nanos()))));
+		this.owner.send(owned.replies(owned.broker().configure(candidates, this.ticker.nanos())));
+		removedVms.forEach((vm) -> this.owner.send(owned.replies(owned.broker().vmGone(vm, this.ticker.nanos()))));
 		for (EndpointTarget target : targets) {
 			if (target.pool().role() == PoolRole.DECODE) {
 				observe(owned, target, seen);
 			}
 			else {
 				long now = this.ticker.nanos();
-				this.owner.send(owned.answers(owned.broker().observed(target.id(), List.of(), now, now)));
+				this.owner.send(owned.replies(owned.broker().observed(target.id(), List.of(), now, now)));
 			}
 		}
 		owned.setReady();
 	}
 
 	private void observe(OwnedPool owned, EndpointTarget target, Set<String> seen) {
-		long askedAt = this.ticker.nanos();
+		long requestedAt = this.ticker.nanos();
 		try {
 			List<ObservedStream> streams = new ArrayList<>();
 			for (EngineStream stream : this.engine.streams(target.address())) {
 				VmId vm = holder(stream);
 				streams.add(new ObservedStream(stream.requestId(), vm));
-				if (!vm.equals(this.ownership.self()) && !this.holders.contains(vm)) {
-					orphan(target, stream, seen);
+				if (!vm.equals(this.ownership.self()) && !this.slotHolders.contains(vm)) {
+					cancelIfOrphaned(target, stream, seen);
 				}
 			}
-			this.owner.send(owned.answers(owned.broker().observed(target.id(), streams, askedAt, this.ticker.nanos())));
+			this.owner
+				.send(owned.replies(owned.broker().observed(target.id(), streams, requestedAt, this.ticker.nanos())));
 			if (this.engine.load(target.address()).cold()) {
 				owned.broker().coldDetected(target.id());
 			}
 		}
 		catch (EndpointException ex) {
-			// An endpoint that does not answer is noticed by the requests sent to it.
+			// An endpoint that does not respond is detected by the requests sent to it.
 		}
 	}
 
@@ -144,12 +145,12 @@
 		}
 	}
 
-	private void orphan(EndpointTarget target, EngineStream stream, Set<String> seen) {
+	private void cancelIfOrphaned(EndpointTarget target, EngineStream stream, Set<String> seen) {
 		String key = target.id() + "/" + stream.requestId();
 		seen.add(key);
 		long now = this.ticker.nanos();
-		long since = this.orphans.computeIfAbsent(key, (same) -> now);
-		if (now - since >= ORPHAN_NANOS) {
+		long since = this.orphanedSince.computeIfAbsent(key, (same) -> now);
+		if (now - since >= ORPHAN_GRACE_NANOS) {
 			this.canceller.cancel(target.address(), stream.requestId());
 		}
 	}
--- a/server/src/main/java/org/banyanstile/server/fleet/RequestTable.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/RequestTable.java
@@ -10,7 +10,7 @@
 
 /**
  * Requests by idempotency key, in the memory of the owner of their partition. Bounded in
- * number; the oldest entry goes first.
+ * number; the entry that was not changed for the longest time is evicted first.
  *
  * @author banyanstile contributors
  */
@@ -21,19 +21,19 @@
 	private final Map<StreamKey, Entry> entries = new LinkedHashMap<>();
 
 	/**
-	 * Makes a VM the one that serves a request, unless the entry has another body.
+	 * Records the VM that serves a request, unless the entry has another body.
 	 * @param key identity of the request
 	 * @param vm the VM
 	 * @param bodyHash hash of the body
-	 * @return the entry before, or {@code null}
+	 * @return the previous entry, or {@code null}
 	 */
-	synchronized @Nullable Entry enter(StreamKey key, VmId vm, String bodyHash) {
-		Entry before = this.entries.get(key);
-		if (before == null || before.bodyHash().equals(bodyHash)) {
-			StreamLocation location = (before != null) ? before.location() : null;
+	synchronized @Nullable Entry setServingVm(StreamKey key, VmId vm, String bodyHash) {
+		Entry previous = this.entries.get(key);
+		if (previous == null || previous.bodyHash().equals(bodyHash)) {
+			StreamLocation location = (previous != null) ? previous.location() : null;
 			put(key, new Entry(vm, bodyHash, location));
 		}
-		return before;
+		return previous;
 	}
 
 	synchronized void announce(StreamKey key, VmId vm, StreamLocation location) {
--- a/server/src/main/java/org/banyanstile/server/fleet/TeamBucketOwners.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/TeamBucketOwners.java
@@ -26,7 +26,7 @@
 
 	private final int slotCount;
 
-	private final Map<Integer, Owned> owned = new ConcurrentHashMap<>();
+	private final Map<Integer, OwnedPartition> owned = new ConcurrentHashMap<>();
 
 	private volatile Map<TeamId, TeamLimit> limits = Map.of();
 
@@ -38,10 +38,10 @@
 
 	void configure(Map<TeamId, TeamLimit> limits, long now) {
 		this.limits = Map.copyOf(limits);
-		this.owned.forEach((partition, bucket) -> bucket.owner().configure(ofPartition(partition), now));
+		this.owned.forEach((partition, bucket) -> bucket.owner().configure(limitsOfPartition(partition), now));
 	}
 
-	private Map<TeamId, TeamLimit> ofPartition(int partition) {
+	private Map<TeamId, TeamLimit> limitsOfPartition(int partition) {
 		return this.limits.entrySet()
 			.stream()
 			.filter((entry) -> TeamLimits.partition(entry.getKey(), Partitions.COUNT) == partition)
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Follows changes of ownership.
+	 * Applies changes of ownership.
 	 * @param now the current time
 	 * @return the owned partitions, as a bit mask
 	 */
@@ -78,14 +78,14 @@
 				return current;
 			}
 			TeamBucketOwner owner = TeamBucketOwner.takeOver(this.slotCount, token, now);
-			owner.configure(ofPartition(number), now);
-			return new Owned(token, owner);
+			owner.configure(limitsOfPartition(number), now);
+			return new OwnedPartition(token, owner);
 		}).owner();
 	}
 
 	void promised(FloorPromise promise, long now) {
 		for (int i = 0; i < Partitions.COUNT; i++) {
-			Owned bucket = this.owned.get(i);
+			OwnedPartition bucket = this.owned.get(i);
 			if ((promise.partitions() & (1L << i)) != 0 && bucket != null) {
 				bucket.owner().promised(promise.slot(), promise.sentAt(), now);
 			}
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Answers a grant request.
+	 * Handles a grant request.
 	 * @param request the request
 	 * @param now the current time
 	 * @return the reply, or {@code null} if this VM does not own the partition
@@ -105,13 +105,13 @@
 	}
 
 	/**
-	 * Buckets of a partition.
+	 * Buckets of an owned partition.
 	 *
 	 * @param token fencing token of the ownership
 	 * @param owner the buckets
 	 * @author banyanstile contributors
 	 */
-	private record Owned(long token, TeamBucketOwner owner) {
+	private record OwnedPartition(long token, TeamBucketOwner owner) {
 
 	}
 
--- a/server/src/main/java/org/banyanstile/server/fleet/package-info.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Fleet-wide limits, slots and stream directory: the side of the requesting VM and the
- * side of the partition's owner.
+ * Fleet-wide team limits, endpoint slots, claims and stream directory, both for the VM
+ * that sends requests and for the owner of a partition.
  */
 @NullMarked
 package org.banyanstile.server.fleet;
--- a/server/src/test/java/org/banyanstile/server/fleet/FleetClaimServiceTests.java
+++ b/server/src/test/java/org/banyanstile/server/fleet/FleetClaimServiceTests.java
@@ -47,7 +47,7 @@
 
 	private final TestFleet fleet = new TestFleet();
 
-	private final OneTable table = new OneTable();
+	private final InMemoryTable table = new InMemoryTable();
 
 	private FleetClaimService first;
 
@@ -73,10 +73,10 @@
 	}
 
 	/**
-	 * Guards against an order that runs on two VMs.
+	 * Guards against a call that runs on two VMs.
 	 */
 	@Test
-	void repeatAtAnotherVmGetsTheSameAnswer() {
+	void repeatedRequestAtAnotherVmGetsTheSameResponse() {
 		ClaimDecision run = this.first.claim(KEY);
 		assertThat(run, is(instanceOf(ClaimDecision.Run.class)));
 		this.first.complete((ClaimDecision.Run) run, new CallOutcome.Answered(ANSWER));
@@ -86,22 +86,22 @@
 	}
 
 	/**
-	 * Guards against a repeat that runs while the first call is still running.
+	 * Guards against a repeated request that runs while the first call is still running.
 	 */
 	@Test
-	void repeatWaitsForTheCallThatRuns() throws Exception {
+	void repeatedRequestWaitsForTheRunningCall() throws Exception {
 		ClaimDecision.Run run = (ClaimDecision.Run) this.first.claim(KEY);
-		CompletableFuture<ClaimDecision> repeat = CompletableFuture.supplyAsync(() -> this.second.claim(KEY));
+		CompletableFuture<ClaimDecision> repeated = CompletableFuture.supplyAsync(() -> this.second.claim(KEY));
 		TestFleet.await(() -> this.table.reads > 0);
 		this.table.available = false;
 		this.first.complete(run, new CallOutcome.Answered(ANSWER));
 		this.table.available = true;
-		assertThat(repeat.get(5, TimeUnit.SECONDS), is(new ClaimDecision.Decided(new CallOutcome.Answered(ANSWER))));
+		assertThat(repeated.get(5, TimeUnit.SECONDS), is(new ClaimDecision.Decided(new CallOutcome.Answered(ANSWER))));
 	}
 
 	/**
-	 * Guards against a refusal that says nothing ran while the claim may be stored, and
-	 * against a claim without the store.
+	 * Guards against a refusal which states that nothing ran although the claim may be
+	 * stored, and against a claim granted without the store.
 	 */
 	@Test
 	void refusesWithoutTheStore() {
@@ -113,11 +113,11 @@
 	}
 
 	/**
-	 * Table service in memory.
+	 * In-memory table service.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private static final class OneTable implements TableStore {
+	private static final class InMemoryTable implements TableStore {
 
 		private final Map<String, Row> rows = new HashMap<>();
 
@@ -159,7 +159,7 @@
 
 		private void requireAvailable() throws StoreException {
 			if (!this.available) {
-				throw new StoreUnavailableException("down", null);
+				throw new StoreUnavailableException("table service unavailable", null);
 			}
 		}
 
--- a/server/src/test/java/org/banyanstile/server/fleet/FleetSlotSourceTests.java
+++ b/server/src/test/java/org/banyanstile/server/fleet/FleetSlotSourceTests.java
@@ -51,19 +51,19 @@
 	void start() throws Exception {
 		this.owner = this.fleet.add("vm-1");
 		this.other = this.fleet.add("vm-2");
-		this.fleet.own(POOL.partition(), this.owner);
+		this.fleet.setOwner(POOL.partition(), this.owner);
 		TestConfiguration configuration = new TestConfiguration(
 				new EndpointTarget(EndpointId.of("s-1"), "127.0.0.1:1", POOL, 2, false, true));
 		Ticker ticker = Ticker.system();
 		PoolOwner pools = PoolOwner.create(this.owner, Messenger.over(this.owner.peers), configuration, ticker,
 				this.owner.handlers);
-		PoolOwner none = PoolOwner.create(this.other, Messenger.over(this.other.peers), configuration, ticker,
+		PoolOwner otherPools = PoolOwner.create(this.other, Messenger.over(this.other.peers), configuration, ticker,
 				this.other.handlers);
 		this.atOwner = source(this.owner, configuration, pools);
-		this.atOther = source(this.other, configuration, none);
+		this.atOther = source(this.other, configuration, otherPools);
 		HttpClient http = HttpClient.create(1);
 		EngineClient engine = EngineClient.create(http, () -> "vm-1/1");
-		this.reconciler = new PoolReconciler(pools, new NoSlots(), this.owner, configuration, engine,
+		this.reconciler = new PoolReconciler(pools, new NoVmSlots(), this.owner, configuration, engine,
 				EngineCanceller.create(engine, 1), ticker);
 		this.reconciler.reconcile();
 		this.fleet.connect();
@@ -71,7 +71,7 @@
 	}
 
 	private static FleetSlotSource source(TestFleet.Node node, TestConfiguration configuration, PoolOwner pools) {
-		return FleetSlotSource.create(node, Messenger.over(node.peers), configuration, pools, new NoSource(),
+		return FleetSlotSource.create(node, Messenger.over(node.peers), configuration, pools, new EmptySlotSource(),
 				node.handlers);
 	}
 
@@ -117,16 +117,17 @@
 
 	@Test
 	void usesTheFallbackWithoutAnOwner() {
-		this.fleet.own(POOL.partition(), null);
-		assertThat(this.atOther.acquire(demand("r1", 0)), is(new SlotDecision.Overloaded(NoSource.RETRY_MILLIS)));
+		this.fleet.setOwner(POOL.partition(), null);
+		assertThat(this.atOther.acquire(demand("r1", 0)),
+				is(new SlotDecision.Overloaded(EmptySlotSource.RETRY_MILLIS)));
 	}
 
 	/**
-	 * Fallback that has no slots.
+	 * Fallback without endpoint slots.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private static final class NoSource implements SlotSource {
+	private static final class EmptySlotSource implements SlotSource {
 
 		private static final long RETRY_MILLIS = 4711;
 
@@ -148,11 +149,11 @@
 	}
 
 	/**
-	 * Fleet without slots of VMs.
+	 * Fleet without VM slots.
 	 *
 	 * @author banyanstile contributors
 	 */
-	private static final class NoSlots implements SlotView {
+	private static final class NoVmSlots implements SlotView {
 
 		@Override
 		public int slot() {
--- a/server/src/test/java/org/banyanstile/server/fleet/FleetStreamDirectoryTests.java
+++ b/server/src/test/java/org/banyanstile/server/fleet/FleetStreamDirectoryTests.java
@@ -43,7 +43,7 @@
 
 	@BeforeEach
 	void start() throws Exception {
-		this.fleet.own(Partitions.request(KEY), this.owner);
+		this.fleet.setOwner(Partitions.request(KEY), this.owner);
 		this.fleet.connect();
 	}
 
@@ -75,7 +75,8 @@
 	}
 
 	/**
-	 * Guards against two runs of a request whose repeat reaches another VM.
+	 * Guards against a request that runs twice when the repeated request reaches another
+	 * VM.
 	 */
 	@Test
 	void findsAStreamWhoseVmNoLongerServesIt() {
@@ -89,7 +90,7 @@
 	}
 
 	@Test
-	void forgetsAWithdrawnStream() {
+	void removesAWithdrawnStream() {
 		this.atA.takeOver(KEY, "body");
 		this.atA.announce(KEY, LOCATION);
 		this.atA.withdraw(KEY);
@@ -97,12 +98,12 @@
 	}
 
 	/**
-	 * Guards against a new owner that does not know the running streams.
+	 * Guards against a new owner that does not learn of the running streams.
 	 */
 	@Test
 	void announcesStreamsToANewOwner() {
 		this.atA.announce(KEY, LOCATION);
-		this.fleet.own(Partitions.request(KEY), this.b);
+		this.fleet.setOwner(Partitions.request(KEY), this.b);
 		this.atA.announceAgain();
 		awaitHandled(this.atA);
 		assertThat(this.atOwner.takeOver(KEY, "other"), is(new TakeoverResult.OtherBody()));
@@ -111,7 +112,7 @@
 	@Test
 	void doesNotTakeOverWithoutAnOwner() {
 		this.atA.announce(KEY, LOCATION);
-		this.fleet.own(Partitions.request(KEY), null);
+		this.fleet.setOwner(Partitions.request(KEY), null);
 		assertThat(this.atB.takeOver(KEY, "body"), is(new TakeoverResult.NotRunning()));
 	}
 
--- a/server/src/test/java/org/banyanstile/server/fleet/FleetTeamLimiterTests.java
+++ b/server/src/test/java/org/banyanstile/server/fleet/FleetTeamLimiterTests.java
@@ -44,7 +44,7 @@
 	@BeforeEach
 	void start() throws Exception {
 		List<TestFleet.Node> nodes = List.of(this.fleet.add("vm-1"), this.fleet.add("vm-2"));
-		this.fleet.own(PARTITION, nodes.get(0));
+		this.fleet.setOwner(PARTITION, nodes.get(0));
 		FleetConfiguration configuration = FleetConfiguration.builder("test")
 			.team(Team.builder(TEAM.name()).rate(100, 1000).build())
 			.limits(Limits.of(1000, 1000, 1000))
@@ -65,11 +65,11 @@
 	}
 
 	/**
-	 * Lets time pass; promises are exchanged as messages, so each step waits for a grant
-	 * request that follows them.
+	 * Advances the clock in steps of 1 s. Promises are exchanged as messages, so each
+	 * step waits for a grant request that follows them.
 	 * @param seconds the time
 	 */
-	private void pass(int seconds) {
+	private void advance(int seconds) {
 		for (int i = 0; i < seconds; i++) {
 			this.clock.addAndGet(SECOND);
 			this.limiters.forEach(FleetTeamLimiter::update);
@@ -78,7 +78,7 @@
 		}
 	}
 
-	private long spendable() {
+	private long spendAll() {
 		long spent = 0;
 		while (this.limiters.get((int) (spent / 10 % 2)).reserve(TEAM, 10) instanceof LimitDecision.Reserved) {
 			spent += 10;
@@ -91,20 +91,20 @@
 	 */
 	@Test
 	void bothVmsTogetherSpendNoMoreThanTheBurst() {
-		pass(8);
-		long spent = spendable();
+		advance(8);
+		long spent = spendAll();
 		assertThat(spent, is(greaterThan(300L)));
 		assertThat(spent, is(lessThanOrEqualTo(1000L)));
 		assertThat(this.limiters.get(0).reserve(TEAM, 10), is(instanceOf(LimitDecision.Limited.class)));
 	}
 
 	@Test
-	void refusesARequestAboveTheBurstForGood() {
+	void refusesARequestAboveTheBurstPermanently() {
 		assertThat(this.limiters.get(1).reserve(TEAM, 1001), is(new LimitDecision.TooLarge(1000)));
 	}
 
 	/**
-	 * Slots of the test's VMs.
+	 * VM slots of the test.
 	 *
 	 * @param slot slot of this VM
 	 * @param nodes all VMs
--- a/server/src/test/java/org/banyanstile/server/fleet/TestFleet.java
+++ b/server/src/test/java/org/banyanstile/server/fleet/TestFleet.java
@@ -55,7 +55,7 @@
 		}
 	}
 
-	void own(String partition, @Nullable Node node) {
+	void setOwner(String partition, @Nullable Node node) {
 		if (node == null) {
 			this.owners.remove(partition);
 		}
