--- a/server/src/main/java/org/banyanstile/server/vm/ClaimQuery.java
+++ b/server/src/main/java/org/banyanstile/server/vm/ClaimQuery.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.vm;
 
 /**
- * Request to the VM that holds a once-only claim for its outcome.
+ * Asks the VM that holds the claim of a call for the outcome of the call.
  *
  * @param team name of the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/vm/FleetKeyHandshake.java
+++ b/server/src/main/java/org/banyanstile/server/vm/FleetKeyHandshake.java
@@ -18,7 +18,8 @@
 
 /**
  * Mutual proof of possession of the fleet key at the start of a connection. The proofs
- * name the role of their sender, so a proof cannot be reflected to the side that made it.
+ * name the role of their sender, so a proof cannot be reflected to the side that created
+ * it.
  *
  * @author banyanstile contributors
  */
@@ -40,8 +41,9 @@
 	}
 
 	/**
-	 * Runs the handshake on the side that made the connection. It proves itself first, so
-	 * that the accepting side discloses no proof to a stranger.
+	 * Runs the handshake on the side that opened the connection. This side sends its
+	 * proof first, so that the accepting side discloses no proof to an unauthenticated
+	 * peer.
 	 * @param connection the connection
 	 * @return name and address of the peer
 	 * @throws IOException if the connection broke or the peer has another key
@@ -79,13 +81,13 @@
 	private void verify(HelloProof received, String expected, Hello peer) throws HandshakeException {
 		if (!MessageDigest.isEqual(received.hmac().getBytes(StandardCharsets.UTF_8),
 				expected.getBytes(StandardCharsets.UTF_8))) {
-			throw new HandshakeException("the peer does not possess the fleet key");
+			throw new HandshakeException("the peer's proof does not match the fleet key");
 		}
 		try {
 			VmId.of(peer.vm());
 		}
 		catch (IllegalArgumentException ex) {
-			throw new HandshakeException("the peer has an invalid name");
+			throw new HandshakeException("the peer sent an invalid VM name");
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/vm/FloorPromise.java
+++ b/server/src/main/java/org/banyanstile/server/vm/FloorPromise.java
@@ -1,11 +1,11 @@
 package org.banyanstile.server.vm;
 
 /**
- * Promise not to use the floors of some partitions.
+ * Promise of the sender not to use its floors of some partitions.
  *
- * @param slot slot of the sender
+ * @param slot VM slot of the sender
  * @param partitions numbers of the partitions, as a bit mask
- * @param sentAt time that the query carried
+ * @param sentAt the {@link FloorQuery#sentAt()} of the query, unchanged
  * @author banyanstile contributors
  */
 public record FloorPromise(int slot, long partitions, long sentAt) {
--- a/server/src/main/java/org/banyanstile/server/vm/HandshakeException.java
+++ b/server/src/main/java/org/banyanstile/server/vm/HandshakeException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * A connection was closed because the peer could not be authenticated.
+ * Thrown when a connection is closed because the peer could not be authenticated.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/vm/MessageHandlers.java
+++ b/server/src/main/java/org/banyanstile/server/vm/MessageHandlers.java
@@ -9,8 +9,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Handlers by message type. Safe for use by several threads; handlers may be added while
- * connections are open.
+ * Registry of handlers by message type. Safe for use by several threads; handlers may be
+ * added while connections are open.
  *
  * @author banyanstile contributors
  */
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Adds or replaces the handler of a type that must not wait behind other messages. It
-	 * runs in the thread that reads the connection and must not block.
+	 * Adds or replaces the handler of a type that must not be queued behind other
+	 * messages. It runs in the thread that reads the connection and must not block.
 	 * @param type the message type
 	 * @param handler the handler
 	 * @param <T> the message type
--- a/server/src/main/java/org/banyanstile/server/vm/SlotRelease.java
+++ b/server/src/main/java/org/banyanstile/server/vm/SlotRelease.java
@@ -1,9 +1,9 @@
 package org.banyanstile.server.vm;
 
 /**
- * Return of a decode slot to the owner of its pool.
+ * Returns an endpoint slot to the owner of its pool.
  *
- * @param pool name of the partition
+ * @param pool name of the pool
  * @param requestId identifier of the request
  * @param endpoint name of the endpoint
  * @param outcome how the request ended at the endpoint
--- a/server/src/main/java/org/banyanstile/server/vm/SlotRenew.java
+++ b/server/src/main/java/org/banyanstile/server/vm/SlotRenew.java
@@ -1,8 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * Notice to the owner of a pool that a slot is in use. An owner that does not know the
- * slot, because it has just taken over, records it.
+ * Notifies the owner of a pool that an endpoint slot is in use. An owner that has just
+ * taken over and does not know the slot records it.
  *
  * @param pool name of the pool
  * @param requestId identifier of the request
--- a/server/src/main/java/org/banyanstile/server/vm/SlotReply.java
+++ b/server/src/main/java/org/banyanstile/server/vm/SlotReply.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Answer to {@link SlotRequest}: an endpoint or a refusal.
+ * Reply to {@link SlotRequest}: an endpoint or a refusal.
  *
  * @param pool name of the pool
  * @param requestId identifier of the request
@@ -16,7 +16,7 @@
 		long retryAfterMillis) {
 
 	/**
-	 * No slot became free in time.
+	 * No endpoint slot became free before the deadline.
 	 */
 	public static final String OVERLOADED = "overloaded";
 
--- a/server/src/main/java/org/banyanstile/server/vm/SlotRequest.java
+++ b/server/src/main/java/org/banyanstile/server/vm/SlotRequest.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Request to the owner of a pool for a slot. The reply is a message of its own, so that a
- * request that waits occupies no thread.
+ * Asks the owner of a pool for an endpoint slot. The reply is a separate message, so that
+ * a queued request occupies no thread.
  *
  * @param pool name of the pool
  * @param team name of the team
--- a/server/src/main/java/org/banyanstile/server/vm/SlotRowsFetch.java
+++ b/server/src/main/java/org/banyanstile/server/vm/SlotRowsFetch.java
@@ -1,8 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * Request for the slot rows known to the receiver, by a VM that starts while the store is
- * down.
+ * Asks for the rows of VM slots that the receiver knows. Sent by a VM that starts while
+ * the store is unavailable.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/vm/StreamAnnounce.java
+++ b/server/src/main/java/org/banyanstile/server/vm/StreamAnnounce.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.vm;
 
 /**
- * Announcement to the owner of a request partition of where a request runs.
+ * Tells the owner of a request partition where a request runs.
  *
  * @param team name of the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/vm/StreamLookup.java
+++ b/server/src/main/java/org/banyanstile/server/vm/StreamLookup.java
@@ -1,8 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * Request to the owner of a request partition. It makes the sender the VM that serves the
- * request.
+ * Asks the owner of a request partition where a request runs, and registers the sender as
+ * the VM that serves the request.
  *
  * @param team name of the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/vm/StreamTakeover.java
+++ b/server/src/main/java/org/banyanstile/server/vm/StreamTakeover.java
@@ -1,8 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * Request to the serving VM to end its connection to the caller, because another VM
- * continues the stream.
+ * Asks the VM that serves a request to close its connection to the caller, because
+ * another VM continues the stream.
  *
  * @param team name of the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/vm/StreamWithdraw.java
+++ b/server/src/main/java/org/banyanstile/server/vm/StreamWithdraw.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.vm;
 
 /**
- * Notice to the owner of a request partition that the sender no longer serves a request.
+ * Notifies the owner of a request partition that the sender no longer serves a request.
  *
  * @param team name of the team
  * @param keyHash SHA-256 of the idempotency key, in hexadecimal
--- a/server/src/main/java/org/banyanstile/server/vm/VmIdentity.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmIdentity.java
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Leaves out the fleet key, so that it reaches no log.
+	 * Omits the fleet key, so that it is never logged.
 	 */
 	@Override
 	public String toString() {
--- a/server/src/main/java/org/banyanstile/server/vm/VmPeer.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmPeer.java
@@ -41,7 +41,7 @@
 
 	private static final long MAX_BACKOFF_MILLIS = 2000;
 
-	private static final int QUEUE = 256;
+	private static final int QUEUE_CAPACITY = 256;
 
 	private final String address;
 
@@ -51,7 +51,7 @@
 
 	private final VmCounters counters;
 
-	private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
+	private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
 
 	private final Map<Long, CompletableFuture<Object>> pending = new ConcurrentHashMap<>();
 
@@ -92,23 +92,24 @@
 
 	Object request(Record message, Duration timeout) throws VmRequestException {
 		if (this.connection == null) {
-			throw new VmUnreachableException("no connection to " + this.address);
+			throw new VmUnreachableException("no connection to VM at " + this.address);
 		}
 		long id = this.correlation.incrementAndGet();
 		CompletableFuture<Object> reply = new CompletableFuture<>();
 		this.pending.put(id, reply);
 		try {
 			if (!enqueue(new Message(id, message))) {
-				throw new VmUnreachableException("queue to " + this.address + " is full");
+				throw new VmUnreachableException("send queue to VM at " + this.address + " is full");
 			}
 			return reply.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
 		}
 		catch (TimeoutException | ExecutionException ex) {
-			throw new VmReplyTimeoutException("no reply from " + this.address);
+			throw new VmReplyTimeoutException(
+					"no reply from VM at " + this.address + " before the timeout or the end of the connection");
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new VmReplyTimeoutException("interrupted while waiting for " + this.address);
+			throw new VmReplyTimeoutException("interrupted while waiting for the reply from VM at " + this.address);
 		}
 		finally {
 			this.pending.remove(id);
@@ -132,13 +133,13 @@
 		long backoff = MIN_BACKOFF_MILLIS;
 		while (!this.closed) {
 			long connectedAt = System.nanoTime();
-			boolean wasConnected = converse();
-			fail();
+			boolean wasConnected = runConnection();
+			failPending();
 			if (wasConnected && System.nanoTime() - connectedAt > TimeUnit.SECONDS.toNanos(1)) {
 				backoff = MIN_BACKOFF_MILLIS;
 			}
 			if (!this.closed) {
-				pause(backoff);
+				sleep(backoff);
 			}
 			backoff = Math.min(MAX_BACKOFF_MILLIS, 2 * backoff);
 		}
@@ -148,7 +149,7 @@
 	 * Connects and writes until the connection breaks.
 	 * @return whether the peer was authenticated
 	 */
-	private boolean converse() {
+	private boolean runConnection() {
 		boolean authenticated = false;
 		try (Socket socket = new Socket()) {
 			socket.connect(Addresses.parse(this.address), CONNECT_MILLIS);
@@ -164,10 +165,11 @@
 			write(opened);
 		}
 		catch (IOException ex) {
-			count(ex, authenticated);
+			countFailure(ex, authenticated);
 		}
 		catch (IllegalArgumentException ex) {
-			// An address that cannot be parsed is retried like one that refuses.
+			// An address that cannot be parsed is retried like one that refuses
+			// connections.
 			this.counters.failedHandshakes().increment();
 		}
 		catch (InterruptedException ex) {
@@ -202,7 +204,7 @@
 			}
 		}
 		catch (IOException ex) {
-			count(ex, true);
+			countFailure(ex, true);
 		}
 		disconnected(opened);
 	}
@@ -213,13 +215,14 @@
 		}
 	}
 
-	private void fail() {
+	private void failPending() {
 		this.connection = null;
 		this.queue.clear();
-		this.pending.values().forEach((reply) -> reply.completeExceptionally(new IOException("the connection broke")));
+		this.pending.values()
+			.forEach((reply) -> reply.completeExceptionally(new IOException("the connection ended before the reply")));
 	}
 
-	private void count(IOException ex, boolean authenticated) {
+	private void countFailure(IOException ex, boolean authenticated) {
 		if (ex instanceof MalformedFrameException) {
 			this.counters.malformedFrames().increment();
 		}
@@ -231,7 +234,7 @@
 		}
 	}
 
-	private void pause(long backoff) {
+	private void sleep(long backoff) {
 		try {
 			Thread.sleep(backoff / 2 + ThreadLocalRandom.current().nextLong(backoff));
 		}
--- a/server/src/main/java/org/banyanstile/server/vm/VmPeers.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmPeers.java
@@ -43,7 +43,7 @@
 
 	private static final long TICK_NANOS = TICK_MILLIS * 1_000_000;
 
-	private static final long BLOCKED_NANOS = 2_000_000_000L;
+	private static final long WRITE_BLOCKED_NANOS = 2_000_000_000L;
 
 	private final VmIdentity identity;
 
@@ -59,14 +59,14 @@
 
 	private final ScheduledExecutorService timer;
 
-	private volatile Set<String> known = Set.of();
+	private volatile Set<String> configuredAddresses = Set.of();
 
-	private volatile LongSupplier periodNanos = () -> 4 * TICK_NANOS;
+	private volatile LongSupplier heartbeatPeriodNanos = () -> 4 * TICK_NANOS;
 
-	private long lastRound = System.nanoTime() - 4 * TICK_NANOS;
+	private long lastHeartbeatRound = System.nanoTime() - 4 * TICK_NANOS;
 
 	private volatile Supplier<Function<VmId, Heartbeat>> heartbeats = () -> (vm) -> {
-		throw new IllegalStateException("no source of heartbeats");
+		throw new IllegalStateException("the source of heartbeats is not set");
 	};
 
 	private @Nullable VmServer server;
@@ -82,7 +82,7 @@
 	}
 
 	/**
-	 * Creates the connections of a VM; none is made before {@link #start()}.
+	 * Creates the connections of a VM; none is opened before {@link #start()}.
 	 * @param identity name, address and fleet key of this VM
 	 * @param codec codec with all message types, see {@link VmMessages}
 	 * @param handlers handlers of incoming messages
@@ -93,8 +93,8 @@
 	}
 
 	/**
-	 * Sets the source of heartbeats. It is called once a round, and the function that it
-	 * returns once for each connected VM. Neither may block.
+	 * Sets the source of heartbeats. It is called once per round, and the function that
+	 * it returns once for each connected VM. Neither may block.
 	 * @param source the source
 	 */
 	public void setHeartbeats(Supplier<Function<VmId, Heartbeat>> source) {
@@ -102,11 +102,11 @@
 	}
 
 	/**
-	 * Sets the time from one round of heartbeats to the next, 1 s if this is not called.
-	 * @param periodNanos source of the time, at least 250 ms
+	 * Sets the interval between rounds of heartbeats, 1 s by default.
+	 * @param periodNanos source of the interval, at least 250 ms
 	 */
 	public void setHeartbeatPeriod(LongSupplier periodNanos) {
-		this.periodNanos = periodNanos;
+		this.heartbeatPeriodNanos = periodNanos;
 	}
 
 	/**
@@ -120,13 +120,13 @@
 	}
 
 	/**
-	 * Sets the addresses to connect to. VMs that have connected to this one are added as
-	 * long as their connection is open, since a VM that starts during a store outage has
-	 * no slot row.
+	 * Sets the addresses to connect to. VMs that have connected to this one are added
+	 * while their connection is open, since a VM that starts during a store outage has no
+	 * row of a VM slot.
 	 * @param addresses addresses of other VMs; that of this VM is ignored
 	 */
 	public void setAddresses(Collection<String> addresses) {
-		this.known = Set.copyOf(addresses);
+		this.configuredAddresses = Set.copyOf(addresses);
 		connect();
 	}
 
@@ -135,7 +135,7 @@
 		if (current == null) {
 			return;
 		}
-		Set<String> wanted = new HashSet<>(this.known);
+		Set<String> wanted = new HashSet<>(this.configuredAddresses);
 		current.peers().forEach((peer) -> wanted.add(peer.address()));
 		wanted.remove(this.identity.address());
 		this.peers.entrySet().removeIf((entry) -> {
@@ -160,7 +160,7 @@
 		try {
 			connect();
 			long now = System.nanoTime();
-			this.peers.values().forEach((peer) -> peer.closeBlocked(now, BLOCKED_NANOS));
+			this.peers.values().forEach((peer) -> peer.closeBlocked(now, WRITE_BLOCKED_NANOS));
 			closeBlocked(now);
 			sendHeartbeats(now);
 		}
@@ -171,11 +171,11 @@
 	}
 
 	private void sendHeartbeats(long now) {
-		// Half a tick of tolerance, so that jitter of the timer does not delay a round.
-		if (now - this.lastRound < this.periodNanos.getAsLong() - TICK_NANOS / 2) {
+		// Half a tick of tolerance, so that timer jitter does not delay a round.
+		if (now - this.lastHeartbeatRound < this.heartbeatPeriodNanos.getAsLong() - TICK_NANOS / 2) {
 			return;
 		}
-		this.lastRound = now;
+		this.lastHeartbeatRound = now;
 		Function<VmId, Heartbeat> round = this.heartbeats.get();
 		for (VmPeer peer : this.peers.values()) {
 			VmId vm = peer.connectedVm();
@@ -187,7 +187,7 @@
 
 	private synchronized void closeBlocked(long now) {
 		if (this.server != null) {
-			this.server.closeBlocked(now, BLOCKED_NANOS);
+			this.server.closeBlocked(now, WRITE_BLOCKED_NANOS);
 		}
 	}
 
@@ -205,7 +205,7 @@
 	 */
 	public <R extends Record> R request(VmId vm, Record message, Class<R> replyType, Duration timeout)
 			throws VmRequestException {
-		VmPeer peer = find(vm);
+		VmPeer peer = findConnected(vm);
 		if (peer == null) {
 			throw new VmUnreachableException("no connection to VM " + vm);
 		}
@@ -224,7 +224,7 @@
 	 * @return whether it was queued; it can still be lost
 	 */
 	public boolean send(VmId vm, Record message) {
-		VmPeer peer = find(vm);
+		VmPeer peer = findConnected(vm);
 		return peer != null && peer.send(message);
 	}
 
@@ -259,7 +259,7 @@
 		return this.counters;
 	}
 
-	private @Nullable VmPeer find(VmId vm) {
+	private @Nullable VmPeer findConnected(VmId vm) {
 		for (VmPeer peer : this.peers.values()) {
 			if (vm.equals(peer.connectedVm())) {
 				return peer;
--- a/server/src/main/java/org/banyanstile/server/vm/VmReplyTimeoutException.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmReplyTimeoutException.java
@@ -1,7 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * The VM did not reply in time or the connection broke; it may have handled the request.
+ * Thrown when a VM did not reply in time or the connection broke. The VM may have handled
+ * the request.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/vm/VmRequestException.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmRequestException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request to another VM got no reply.
+ * Thrown when a request to another VM failed.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/vm/VmRequestFailedException.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmRequestFailedException.java
@@ -1,7 +1,7 @@
 package org.banyanstile.server.vm;
 
 /**
- * The VM replied that it could not handle the request.
+ * Thrown when a VM replied that it could not handle the request.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/vm/VmServer.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmServer.java
@@ -28,17 +28,18 @@
 	private static final int HANDSHAKE_MILLIS = 2000;
 
 	/**
-	 * Heartbeats arrive each second, so a connection that is silent for longer is dead.
+	 * Heartbeats arrive every second, so a connection without data for this long is
+	 * broken.
 	 */
-	private static final int SILENCE_MILLIS = 10_000;
+	private static final int READ_TIMEOUT_MILLIS = 10_000;
 
 	private static final int BACKLOG = 128;
 
 	/**
-	 * An accept that was interrupted returns within milliseconds; the rest is for a
+	 * An interrupted accept returns within milliseconds; the rest is a margin for a
 	 * machine under load.
 	 */
-	private static final long ACCEPTOR_END_MILLIS = 5000;
+	private static final long ACCEPTOR_JOIN_MILLIS = 5000;
 
 	private final ServerSocket socket;
 
@@ -111,7 +112,8 @@
 				VmThreads.start("vm-in", () -> serve(connection));
 			}
 			catch (IOException ex) {
-				// The socket was closed, or the peer gave up before it was accepted.
+				// The socket was closed, or the peer closed the connection before it was
+				// accepted.
 			}
 		}
 	}
@@ -120,7 +122,7 @@
 		try (connection) {
 			connection.setReadTimeout(HANDSHAKE_MILLIS);
 			Hello peer = this.handshake.accept(connection);
-			connection.setReadTimeout(SILENCE_MILLIS);
+			connection.setReadTimeout(READ_TIMEOUT_MILLIS);
 			this.authenticated.put(connection, peer);
 			read(connection, VmId.of(peer.vm()));
 		}
@@ -204,7 +206,7 @@
 	// The kernel keeps the address bound until the blocked accept has returned.
 	private void awaitAcceptor() {
 		try {
-			this.acceptor.join(ACCEPTOR_END_MILLIS);
+			this.acceptor.join(ACCEPTOR_JOIN_MILLIS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/server/src/main/java/org/banyanstile/server/vm/VmThreads.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmThreads.java
@@ -8,7 +8,8 @@
 final class VmThreads {
 
 	/**
-	 * The threads only move frames, and there are three for each other VM.
+	 * Small, because the threads only transfer frames and there are three for each other
+	 * VM.
 	 */
 	private static final long STACK_BYTES = 256 * 1024;
 
--- a/server/src/main/java/org/banyanstile/server/vm/VmUnreachableException.java
+++ b/server/src/main/java/org/banyanstile/server/vm/VmUnreachableException.java
@@ -1,7 +1,8 @@
 package org.banyanstile.server.vm;
 
 /**
- * There is no connection to the VM, so the request was not sent.
+ * Thrown when a request was not sent, because there is no connection to the VM or its
+ * queue is full.
  *
  * @author banyanstile contributors
  */
--- a/server/src/test/java/org/banyanstile/server/vm/VmPeersTests.java
+++ b/server/src/test/java/org/banyanstile/server/vm/VmPeersTests.java
@@ -38,7 +38,7 @@
 
 	private static final String KEY = "00112233445566778899aabbccddeeff";
 
-	private static final Duration LONG = Duration.ofSeconds(10);
+	private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
 	private final List<VmPeers> started = new ArrayList<>();
 
@@ -83,7 +83,7 @@
 	}
 
 	private static void await(BooleanSupplier condition) throws InterruptedException {
-		long deadline = System.nanoTime() + LONG.toNanos();
+		long deadline = System.nanoTime() + TIMEOUT.toNanos();
 		while (!condition.getAsBoolean()) {
 			assertThat("condition not met in time", System.nanoTime() - deadline < 0, is(true));
 			Thread.sleep(10);
@@ -91,7 +91,7 @@
 	}
 
 	private static GrantReply grant(VmPeers peers, String vm) throws VmRequestException {
-		return peers.request(VmId.of(vm), GrantRequest.of(TeamId.of("team"), 100, 100), GrantReply.class, LONG);
+		return peers.request(VmId.of(vm), GrantRequest.of(TeamId.of("team"), 100, 100), GrantReply.class, TIMEOUT);
 	}
 
 	@Test
@@ -108,7 +108,7 @@
 		assertThrows(VmReplyTimeoutException.class, () -> a.request(VmId.of("vm-b"), new StreamTakeover("team", "r"),
 				Acknowledged.class, Duration.ofMillis(50)));
 		assertThrows(VmRequestFailedException.class,
-				() -> a.request(VmId.of("vm-b"), new ConfigFetch(1), ConfigPush.class, LONG));
+				() -> a.request(VmId.of("vm-b"), new ConfigFetch(1), ConfigPush.class, TIMEOUT));
 	}
 
 	@Test
@@ -168,7 +168,7 @@
 	}
 
 	@Test
-	void strangerGetsNoProofOfTheFleetKey() throws Exception {
+	void unauthenticatedPeerGetsNoProofOfTheFleetKey() throws Exception {
 		String address = freeAddress();
 		VmPeers a = start("vm-a", address, KEY);
 		MessageCodec codec = VmMessages.codec();
@@ -179,7 +179,7 @@
 			connection.receive();
 			connection.send(codec.encode(new Message(0, new HelloProof("00"))));
 			connection.setReadTimeout(5000);
-			assertThat("no proof for a stranger", connection.receive() == null, is(true));
+			assertThat("no proof for an unauthenticated peer", connection.receive() == null, is(true));
 		}
 		await(() -> a.counters().failedHandshakes().sum() == 1);
 	}
