--- a/server/src/main/java/org/banyanstile/server/operator/BurnCountersSource.java
+++ b/server/src/main/java/org/banyanstile/server/operator/BurnCountersSource.java
@@ -17,7 +17,7 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Error-budget counters of this VM in the form of the operator interface.
+ * Converts the error-budget counters of this VM to the report of the operator interface.
  *
  * @author banyanstile contributors
  */
@@ -42,8 +42,8 @@
 	 * Creates the source.
 	 * @param self this VM
 	 * @param counters the counters
-	 * @param ticker the time with which the counters are updated
-	 * @param clock the Unix time, for display only
+	 * @param ticker time source of the counters
+	 * @param clock wall clock, for display only
 	 * @return the source
 	 */
 	public static BurnCountersSource create(VmId self, BurnCounters counters, Ticker ticker, Clock clock) {
--- a/server/src/main/java/org/banyanstile/server/operator/ConfigurationRoutes.java
+++ b/server/src/main/java/org/banyanstile/server/operator/ConfigurationRoutes.java
@@ -15,7 +15,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Routes below {@code /operator/v1/config}.
+ * Handles requests to {@code /operator/v1/config} and below.
  *
  * @author banyanstile contributors
  */
@@ -54,7 +54,7 @@
 		Long replaced = (ifMatch != null) ? number(ifMatch) : null;
 		if (replaced == null) {
 			return OperatorReply.error(428, "invalid_request",
-					"the header If-Match must name the version that is replaced, 0 for the first one");
+					"the header If-Match must contain the version to replace, or 0 for the first version");
 		}
 		ChangeResult result = replace(replaced, body);
 		this.registry
--- a/server/src/main/java/org/banyanstile/server/operator/ConfigurationService.java
+++ b/server/src/main/java/org/banyanstile/server/operator/ConfigurationService.java
@@ -7,7 +7,7 @@
 import org.banyanstile.core.store.StoreException;
 
 /**
- * Versions of the configuration as operators see them. Calls block.
+ * Configuration versions for the operator interface. Calls block.
  *
  * @author banyanstile contributors
  */
@@ -24,13 +24,13 @@
 	 * @param version the version
 	 * @return the version and its content, which is {@code null} if it does not exist or
 	 * is no longer retained
-	 * @throws StoreException if the table service gave no answer
+	 * @throws StoreException if the version could not be read from the table service
 	 */
 	CurrentConfiguration stored(long version) throws StoreException;
 
 	/**
 	 * Replaces the configuration.
-	 * @param replaced the version that it replaces
+	 * @param replaced the version to replace
 	 * @param configuration the new, valid configuration
 	 * @return the outcome
 	 */
--- a/server/src/main/java/org/banyanstile/server/operator/ConfigurationSink.java
+++ b/server/src/main/java/org/banyanstile/server/operator/ConfigurationSink.java
@@ -3,8 +3,8 @@
 import org.banyanstile.config.FleetConfiguration;
 
 /**
- * Receives each version that comes into force at this VM, one call at a time, in rising
- * order of the versions. Must not block on I/O.
+ * Receives each version that comes into force at this VM, one call at a time, in
+ * ascending order of the versions. Must not block on I/O.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/operator/FleetView.java
+++ b/server/src/main/java/org/banyanstile/server/operator/FleetView.java
@@ -6,27 +6,28 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * The other VMs, as far as the distribution of the configuration needs them. Safe for use
- * by several threads; no call blocks.
+ * View of the other VMs for the distribution of the configuration. Safe for use by
+ * several threads; no call blocks.
  *
  * @author banyanstile contributors
  */
 public interface FleetView {
 
 	/**
-	 * Returns the registered VMs with the time of that knowledge.
+	 * Returns the registered VMs with the time of the scan that showed them.
 	 * @return the VMs
 	 */
 	Registered registered();
 
 	/**
-	 * Returns the versions in recent heartbeats of other VMs.
+	 * Returns the versions that other VMs reported in recent heartbeats.
 	 * @return version by VM
 	 */
 	Map<VmId, Long> reported();
 
 	/**
-	 * Asks for a scan of the slot rows now, because an acceptance waits for one.
+	 * Requests an immediate scan of the slot rows, because the acceptance of a version
+	 * can depend on one.
 	 */
 	void requestScan();
 
--- a/server/src/main/java/org/banyanstile/server/operator/OperatorReply.java
+++ b/server/src/main/java/org/banyanstile/server/operator/OperatorReply.java
@@ -4,7 +4,7 @@
 import org.banyanstile.config.api.OperatorError;
 
 /**
- * Reply to an operator.
+ * Response to an operator.
  *
  * @param status the HTTP status
  * @param contentType type of the body
--- a/server/src/main/java/org/banyanstile/server/operator/OperatorServer.java
+++ b/server/src/main/java/org/banyanstile/server/operator/OperatorServer.java
@@ -19,7 +19,7 @@
 import org.xnio.Options;
 
 /**
- * Listener for operators. Each request needs the bearer token.
+ * HTTP server of the operator interface. Each request must carry the bearer token.
  *
  * @author banyanstile contributors
  */
@@ -77,12 +77,12 @@
 
 	/**
 	 * Starts the listener.
-	 * @param address where it listens; port 0 chooses a free one
+	 * @param address address to listen on; port 0 selects a free port
 	 * @param tokenHash hash of the bearer token, from the settings
 	 * @param configuration versions of the configuration
 	 * @param status state of this VM
 	 * @param burn error-budget counters of this VM
-	 * @param registry meters of this VM
+	 * @param registry meter registry of this VM
 	 * @return the listener
 	 */
 	public static OperatorServer start(InetSocketAddress address, String tokenHash, ConfigurationService configuration,
@@ -104,14 +104,14 @@
 		OperatorReply reply;
 		try {
 			reply = isAuthorized(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION)) ? route(exchange)
-					: OperatorReply.error(401, "unauthorized", "the operators' bearer token is missing or wrong");
+					: OperatorReply.error(401, "unauthorized", "the operators' bearer token is missing or invalid");
 		}
 		catch (RequestTooBigException ex) {
 			reply = OperatorReply.error(413, "invalid_request", "the body is larger than " + MAX_BODY_BYTES + " bytes");
 		}
 		catch (RuntimeException ex) {
 			logger.error("operator request {} failed", exchange.getRequestPath(), ex);
-			reply = OperatorReply.error(500, "internal", "internal error, see the log of the VM");
+			reply = OperatorReply.error(500, "internal", "internal error; see the log of the VM");
 		}
 		exchange.setStatusCode(reply.status());
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, reply.contentType());
@@ -134,7 +134,7 @@
 			case "GET /operator/v1/burn" -> OperatorReply.json(200, this.burn.report());
 			case "GET /metrics" ->
 				new OperatorReply(200, "text/plain; version=0.0.4; charset=utf-8", this.registry.scrape());
-			default -> OperatorReply.error(404, "not_found", "there is no " + route);
+			default -> OperatorReply.error(404, "not_found", "unknown route: " + route);
 		};
 	}
 
--- a/server/src/main/java/org/banyanstile/server/operator/PeerFetch.java
+++ b/server/src/main/java/org/banyanstile/server/operator/PeerFetch.java
@@ -12,15 +12,15 @@
 public interface PeerFetch {
 
 	/**
-	 * Asks another VM. Blocks.
+	 * Requests the version from another VM. Blocks.
 	 * @param vm the VM
-	 * @return its version, or {@code null} if it did not answer
+	 * @return its version, or {@code null} if it did not respond
 	 */
 	@Nullable
 	Fetched fetch(VmId vm);
 
 	/**
-	 * A version as another VM has it.
+	 * Version in force at another VM.
 	 *
 	 * @param version the version
 	 * @param body its content as JSON
--- a/server/src/main/java/org/banyanstile/server/operator/PeerStart.java
+++ b/server/src/main/java/org/banyanstile/server/operator/PeerStart.java
@@ -10,8 +10,8 @@
 import org.banyanstile.core.rollout.PeerVersion;
 
 /**
- * Obtains the first configuration of a VM from other VMs, for a start while the table
- * service is down. Call {@link #run()} repeatedly until a version is in force.
+ * Fetches the first configuration of a VM from other VMs, so that it can start while the
+ * table service is down. Call {@link #run()} repeatedly until a version is in force.
  *
  * @author banyanstile contributors
  */
@@ -32,19 +32,19 @@
 	}
 
 	/**
-	 * Creates the start.
+	 * Creates an instance.
 	 * @param rollout applies the version
-	 * @param fleet the other VMs; its registered VMs include all that any peer knows
+	 * @param fleet the other VMs; its registered VMs include every VM that a peer lists
 	 * @param fetch fetches a version
-	 * @return the start
+	 * @return the instance
 	 */
 	public static PeerStart create(RolloutService rollout, FleetView fleet, PeerFetch fetch) {
 		return new PeerStart(rollout, fleet, fetch);
 	}
 
 	/**
-	 * Applies the highest version among more than half of the registered VMs, if no
-	 * version is in force here. Blocks.
+	 * If no version is in force here, applies the highest one in the reports of more than
+	 * half of the registered VMs. Blocks.
 	 * @return whether a version is in force
 	 */
 	public boolean run() {
@@ -60,7 +60,7 @@
 			return false;
 		}
 		if (this.rollout.received(fetched.version(), fetched.body())) {
-			logger.info("configuration version {} was obtained from VM {}", fetched.version(), chosen.get().vm());
+			logger.info("configuration version {} fetched from VM {}", fetched.version(), chosen.get().vm());
 		}
 		return this.rollout.current().version() > 0;
 	}
--- a/server/src/main/java/org/banyanstile/server/operator/RolloutService.java
+++ b/server/src/main/java/org/banyanstile/server/operator/RolloutService.java
@@ -53,7 +53,7 @@
 	private final VersionHolder<FleetConfiguration> holder = VersionHolder.create();
 
 	/**
-	 * Held while a version is handed to the sink, so that the sink never sees a lower
+	 * Held while a version is passed to the sink, so that the sink never receives a lower
 	 * version after a higher one.
 	 */
 	private final Object applyLock = new Object();
@@ -119,7 +119,7 @@
 				return conflict(conflict.current(), configuration);
 			}
 			return ChangeResult.of(ChangeOutcome.UNKNOWN, replaced + 1,
-					"the table service did not say whether the version was stored; read it back");
+					"the table service did not confirm whether the version was stored; read it to find out");
 		}
 		catch (StoreException ex) {
 			return ChangeResult.of(ChangeOutcome.UNAVAILABLE, this.holder.version(), "not stored: " + ex.getMessage());
@@ -127,7 +127,7 @@
 	}
 
 	private ChangeResult committed(long version, FleetConfiguration configuration, String body) {
-		logger.info("configuration version {} is stored", version);
+		logger.info("configuration version {} stored", version);
 		apply(version, configuration);
 		this.fleet.push(version, body);
 		this.fleet.requestScan();
@@ -147,9 +147,9 @@
 	}
 
 	private ChangeResult conflict(long current, FleetConfiguration configuration) throws StoreException {
-		FleetConfiguration winner = stored(current).configuration();
+		FleetConfiguration committed = stored(current).configuration();
 		return ChangeResult.conflict(current,
-				(winner != null) ? ConfigurationDifference.between(winner, configuration) : List.of());
+				(committed != null) ? ConfigurationDifference.between(committed, configuration) : List.of());
 	}
 
 	@Override
@@ -168,7 +168,7 @@
 
 	/**
 	 * Reads the current version and applies it if it is new. Blocks.
-	 * @throws StoreException if the table service gave no answer
+	 * @throws StoreException if the version could not be read from the table service
 	 */
 	public void poll() throws StoreException {
 		long sentAt = this.ticker.nanos();
@@ -198,11 +198,11 @@
 	}
 
 	/**
-	 * Applies a version that another VM sent. Its content is trusted, because VMs prove
-	 * that they have the key of the fleet.
+	 * Applies a version that another VM sent. Its content is trusted, because VMs
+	 * authenticate each other with the fleet key.
 	 * @param version the version
 	 * @param body its content as JSON
-	 * @return whether it was applied, which an equal or lower version is not
+	 * @return whether it was applied; an equal, lower or unreadable version is not
 	 */
 	public boolean received(long version, String body) {
 		if (version <= this.holder.version()) {
@@ -220,7 +220,8 @@
 				this.sink.apply(version, configuration);
 			}
 		}
-		// Only now the version is in force for requests, so only now it is reported.
+		// The version is not in force for requests before this point, so it is not
+		// reported earlier.
 		synchronized (this.lock) {
 			this.tracker.committed(version, this.ticker.nanos());
 			this.freshness.applied(version);
@@ -239,8 +240,8 @@
 	}
 
 	/**
-	 * Records that a heartbeat of another VM named a version. Reads that return a lower
-	 * one are rejected from then on.
+	 * Records the version that another VM reported in a heartbeat. Reads that return a
+	 * lower one are rejected from then on.
 	 * @param version the version
 	 */
 	public void reported(long version) {
@@ -251,8 +252,8 @@
 
 	/**
 	 * Records that this VM holds a slot.
-	 * @param at time after the slot row was committed; the time of the first call counts
-	 * if it is later, because the rows may have been read before this VM was in them
+	 * @param at time after the slot row was committed; the time of the first call is used
+	 * if it is later, because the rows may have been read before they contained this VM
 	 */
 	public void registered(long at) {
 		long now = this.ticker.nanos();
@@ -272,8 +273,8 @@
 
 	/**
 	 * Returns whether this VM knows that the version in force here is the current one.
-	 * Outside the outage rule a VM serves only while this holds.
-	 * @return whether it does
+	 * Unless the outage rule applies, a VM serves only while this is true.
+	 * @return whether it knows this
 	 */
 	public boolean isFresh() {
 		synchronized (this.lock) {
--- a/server/src/main/java/org/banyanstile/server/operator/RolloutTimes.java
+++ b/server/src/main/java/org/banyanstile/server/operator/RolloutTimes.java
@@ -5,15 +5,15 @@
 /**
  * Time limits of {@link RolloutService}.
  *
- * @param resolve longest time for resolving a lost reply of the table service
- * @param accept longest time for which a change waits for its acceptance
- * @param poll pause between two looks at either
+ * @param resolve maximum time to find out whether a commit with a lost reply was stored
+ * @param accept maximum time that a change waits to be accepted
+ * @param poll pause between two checks while waiting for either
  * @author banyanstile contributors
  */
 public record RolloutTimes(Duration resolve, Duration accept, Duration poll) {
 
 	/**
-	 * Returns the usual limits. Heartbeats are sent once a second, so a healthy fleet
+	 * Returns the default limits. Heartbeats are sent once a second, so a healthy fleet
 	 * acknowledges within 2 s.
 	 * @return the limits
 	 */
--- a/server/src/main/java/org/banyanstile/server/operator/package-info.java
+++ b/server/src/main/java/org/banyanstile/server/operator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Listener for operators, and the service that stores and distributes the configuration.
+ * HTTP server of the operator interface, and the service that stores and distributes the
+ * configuration.
  */
 @NullMarked
 package org.banyanstile.server.operator;
--- a/server/src/test/java/org/banyanstile/server/operator/FakeFleet.java
+++ b/server/src/test/java/org/banyanstile/server/operator/FakeFleet.java
@@ -9,7 +9,8 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Fake of two other VMs that acknowledge each version at once unless they are frozen.
+ * Two other VMs that acknowledge each version at once, except those that were told to
+ * stop.
  *
  * @author banyanstile contributors
  */
@@ -19,10 +20,10 @@
 
 	private final List<Long> pushes = new ArrayList<>();
 
-	private final List<VmId> frozen = new ArrayList<>();
+	private final List<VmId> notAcknowledging = new ArrayList<>();
 
-	void freeze(VmId vm) {
-		this.frozen.add(vm);
+	void stopAcknowledging(VmId vm) {
+		this.notAcknowledging.add(vm);
 	}
 
 	void setVersions(long b, long c) {
@@ -51,7 +52,7 @@
 	@Override
 	public void push(long version, String body) {
 		this.pushes.add(version);
-		this.versions.replaceAll((vm, old) -> this.frozen.contains(vm) ? old : Long.valueOf(version));
+		this.versions.replaceAll((vm, old) -> this.notAcknowledging.contains(vm) ? old : Long.valueOf(version));
 	}
 
 }
--- a/server/src/test/java/org/banyanstile/server/operator/FakeTableStore.java
+++ b/server/src/test/java/org/banyanstile/server/operator/FakeTableStore.java
@@ -32,7 +32,7 @@
 
 	private long version;
 
-	private int lost;
+	private int repliesToLose;
 
 	private boolean down;
 
@@ -43,7 +43,7 @@
 	}
 
 	void loseReplies(int count) {
-		this.lost = count;
+		this.repliesToLose = count;
 	}
 
 	void setDown(boolean down) {
@@ -62,7 +62,7 @@
 		this.version++;
 		transaction.writes()
 			.forEach((write) -> this.rows.put(write.key(), new Row(write.key(), this.version, write.value())));
-		if (this.lost > 0) {
+		if (this.repliesToLose > 0) {
 			throw new StoreOutcomeUnknownException("lost reply", null);
 		}
 		return new TransactionResult.Committed(Map.of());
@@ -82,8 +82,8 @@
 	@Override
 	public List<Row> read(Collection<String> keys) throws StoreException {
 		requireUp();
-		if (this.lost > 0 && !this.rows.isEmpty()) {
-			this.lost--;
+		if (this.repliesToLose > 0 && !this.rows.isEmpty()) {
+			this.repliesToLose--;
 			throw new StoreOutcomeUnknownException("lost reply", null);
 		}
 		return keys.stream().filter(this.rows::containsKey).map(this.rows::get).toList();
--- a/server/src/test/java/org/banyanstile/server/operator/OperatorServerTests.java
+++ b/server/src/test/java/org/banyanstile/server/operator/OperatorServerTests.java
@@ -127,7 +127,7 @@
 	}
 
 	/**
-	 * Guards against a window or cause of the counters without a form for operators.
+	 * Guards against a window or cause of the counters that the operator interface lacks.
 	 */
 	@Test
 	void burnCountersHaveAFormForEachWindowAndCause() {
@@ -158,13 +158,13 @@
 
 	@Test
 	void reportsStoredWhileAVmIsMissing() throws Exception {
-		this.fleet.freeze(VmId.of("c"));
+		this.fleet.stopAcknowledging(VmId.of("c"));
 		assertThat(put("0", json(1)), startsWith("202 {\"result\":\"stored\",\"version\":1"));
 		assertThat(get("/operator/v1/config/status"), containsString("\"acknowledged\":2,\"missing\":[\"c\"]"));
 	}
 
 	@Test
-	void theLoserOfARaceSeesTheDifference() throws Exception {
+	void conflictReplyListsTheDifferences() throws Exception {
 		put("0", json(1));
 		put("1", json(2));
 		String reply = put("1", json(3));
@@ -223,11 +223,11 @@
 
 	/**
 	 * Guards against a VM that starts during a store outage with the version of the first
-	 * peer that answers, although more than half of the VMs may have a later one.
+	 * peer that responds, although more than half of the VMs may have a later one.
 	 */
 	@Test
 	void aVmThatStartsDuringAnOutageAsksForTheHighestVersionOfAMajority() {
-		this.fleet.freeze(VmId.of("c"));
+		this.fleet.stopAcknowledging(VmId.of("c"));
 		this.fleet.push(1, "");
 		List<VmId> asked = new ArrayList<>();
 		PeerStart start = PeerStart.create(this.service, this.fleet, (vm) -> {
@@ -244,8 +244,8 @@
 	}
 
 	/**
-	 * Guards against limits or a reported version that go back, when a push and a fetch
-	 * are applied by two threads.
+	 * Guards against limits or a reported version that revert to an older one when two
+	 * threads apply a push and a fetch.
 	 */
 	@Test
 	void theSinkSeesVersionsInRisingOrder() throws Exception {
