--- a/server/src/main/java/org/banyanstile/server/platform/BaseUrl.java
+++ b/server/src/main/java/org/banyanstile/server/platform/BaseUrl.java
@@ -6,7 +6,7 @@
  * Address and path prefix of a service of the platform.
  *
  * @param address address as {@code ip:port}
- * @param path path prefix without a slash at its end
+ * @param path path prefix without a trailing slash
  * @author banyanstile contributors
  */
 record BaseUrl(String address, String path) {
--- a/server/src/main/java/org/banyanstile/server/platform/Coordination.java
+++ b/server/src/main/java/org/banyanstile/server/platform/Coordination.java
@@ -50,7 +50,7 @@
 
 	/**
 	 * Creates the state.
-	 * @param coordinator the decisions, used by nothing else
+	 * @param coordinator makes the decisions; must not be used by anything else
 	 * @param ticker time source
 	 * @return the state
 	 */
@@ -239,8 +239,8 @@
 	}
 
 	/**
-	 * Sets whether this VM promises a VM to leave its rate floors unused for the
-	 * partitions of that VM. The predicate must not block.
+	 * Sets for which VMs this VM promises not to use its rate floors for the partitions
+	 * of that VM. The predicate must not block.
 	 * @param suspended the promise by receiver
 	 */
 	public void setFloorsSuspended(Predicate<VmId> suspended) {
--- a/server/src/main/java/org/banyanstile/server/platform/CoordinationLoop.java
+++ b/server/src/main/java/org/banyanstile/server/platform/CoordinationLoop.java
@@ -34,7 +34,7 @@
 /**
  * Executes the store calls of {@link Coordination} in one thread and the reads of the
  * configuration head in another. Time limits are checked in a third, because a store call
- * can block for longer than they last.
+ * can block for longer than a limit.
  *
  * @author banyanstile contributors
  */
@@ -93,12 +93,12 @@
 
 	/**
 	 * Creates the loop.
-	 * @param coordination the state to drive
+	 * @param coordination the state whose store calls are executed
 	 * @param store the table service
 	 * @param vmList the platform's VM list
 	 * @param peers connections to the other VMs
 	 * @param codec codec of the rows
-	 * @param seeds addresses of VMs to ask while the table service is down
+	 * @param seeds addresses of VMs to contact while the table service is down
 	 * @return the loop
 	 */
 	public static CoordinationLoop create(Coordination coordination, TableStore store, VmListClient vmList,
@@ -108,7 +108,7 @@
 
 	/**
 	 * Registers the handlers of heartbeats and slot rows, and starts the threads. The
-	 * address of this VM must have been bound, see {@link VmPeers#start()}.
+	 * address of this VM must already be bound, see {@link VmPeers#start()}.
 	 * @param handlers handlers of messages from other VMs
 	 */
 	public void start(MessageHandlers handlers) {
@@ -139,8 +139,8 @@
 				task.run();
 			}
 			catch (RuntimeException ex) {
-				// An exception would end the schedule.
-				logger.error("coordination task failed", ex);
+				// An uncaught exception would cancel the periodic task.
+				logger.error("periodic coordination task failed", ex);
 			}
 		}, 0, millis, TimeUnit.MILLISECONDS);
 	}
@@ -219,7 +219,7 @@
 			this.coordination.adopt(rows);
 		}
 		catch (VmRequestException ex) {
-			// Asked again in the next second.
+			// Retried in the next second.
 		}
 	}
 
@@ -241,7 +241,7 @@
 	}
 
 	/**
-	 * Returns the platform's VM list as last read. It lags.
+	 * Returns the platform's VM list as last read, which can be out of date.
 	 * @return the VMs
 	 */
 	public List<ListedVm> listed() {
@@ -266,15 +266,15 @@
 
 	/**
 	 * Releases the partitions and then the slot of this VM, for a graceful shutdown.
-	 * @param timeout longest wait; what was not released by then expires
+	 * @param timeout maximum wait; a partition or slot not released by then expires
 	 * @return whether everything was released
 	 * @throws InterruptedException if the thread was interrupted
 	 */
 	public boolean release(Duration timeout) throws InterruptedException {
 		long deadline = System.nanoTime() + timeout.toNanos();
 		this.coordination.setState(VmState.LEAVING);
-		long half = deadline - timeout.toNanos() / 2;
-		while (!this.coordination.owned().isEmpty() && System.nanoTime() - half < 0) {
+		long partitionDeadline = deadline - timeout.toNanos() / 2;
+		while (!this.coordination.owned().isEmpty() && System.nanoTime() - partitionDeadline < 0) {
 			Thread.sleep(IDLE_MILLIS);
 		}
 		this.coordination.setState(VmState.RELEASED);
@@ -285,7 +285,7 @@
 	}
 
 	/**
-	 * Ends the threads without releasing anything.
+	 * Stops the threads without releasing the partitions and the slot.
 	 */
 	@Override
 	public void close() {
--- a/server/src/main/java/org/banyanstile/server/platform/HttpTableStore.java
+++ b/server/src/main/java/org/banyanstile/server/platform/HttpTableStore.java
@@ -34,8 +34,8 @@
 public final class HttpTableStore implements TableStore {
 
 	/**
-	 * Longest wait for a reply. Two calls in sequence fit into the 4 s for which one
-	 * contact permits serving.
+	 * Maximum wait for a reply. Two consecutive calls fit into the 4 s for which one
+	 * store contact permits serving.
 	 */
 	private static final Duration TIMEOUT = Duration.ofMillis(1800);
 
@@ -72,8 +72,8 @@
 
 	@Override
 	public TransactionResult transact(Transaction transaction) throws StoreException {
-		// A pooled connection can break after the write was sent, which leaves its
-		// outcome unknown without need.
+		// A pooled connection can break after the write was sent, so that its
+		// outcome is unknown. A fresh connection avoids this.
 		Reply reply = call(post("transact", transaction).withFreshConnection());
 		if (reply.status() == CONFLICT) {
 			return new TransactionResult.Conflict(rows(reply.body()));
@@ -103,7 +103,7 @@
 			return HttpRequest.postJson(this.service.address(), path(operation), json).withTimeout(TIMEOUT);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("request cannot be rendered as JSON", ex);
+			throw new IllegalArgumentException("request cannot be serialized as JSON", ex);
 		}
 	}
 
@@ -117,7 +117,8 @@
 			int status = response.status();
 			String text = response.text(MAX_BYTES);
 			if (status == TOO_MANY_REQUESTS) {
-				throw new StoreThrottledException("the table service refused the call for its rate", null);
+				throw new StoreThrottledException("the table service rejected the call with status 429 (rate limit)",
+						null);
 			}
 			if (status >= SERVER_ERROR) {
 				throw new StoreOutcomeUnknownException("the table service replied with status " + status, null);
@@ -131,7 +132,7 @@
 			throw new StoreUnavailableException("the table service cannot be reached", ex);
 		}
 		catch (HttpException | JsonProcessingException ex) {
-			throw new StoreOutcomeUnknownException("no reply of the table service", ex);
+			throw new StoreOutcomeUnknownException("no valid reply from the table service", ex);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/platform/JsonRowCodec.java
+++ b/server/src/main/java/org/banyanstile/server/platform/JsonRowCodec.java
@@ -8,7 +8,7 @@
 import org.banyanstile.core.store.RowCodec;
 
 /**
- * Row codec over Jackson.
+ * Encodes and decodes row values as JSON with Jackson.
  *
  * @author banyanstile contributors
  */
@@ -25,7 +25,7 @@
 			return this.mapper.writeValueAsString(fields);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("fields cannot be rendered as JSON", ex);
+			throw new IllegalArgumentException("fields cannot be serialized as JSON", ex);
 		}
 	}
 
--- a/server/src/main/java/org/banyanstile/server/platform/package-info.java
+++ b/server/src/main/java/org/banyanstile/server/platform/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Clients of the platform's table service and VM list, and the thread that keeps this
- * VM's slot and partitions.
+ * Clients of the platform's table service and VM list, and the loop that acquires and
+ * renews this VM's slot and partitions.
  */
 @NullMarked
 package org.banyanstile.server.platform;
--- a/server/src/test/java/org/banyanstile/server/platform/HttpTableStoreTests.java
+++ b/server/src/test/java/org/banyanstile/server/platform/HttpTableStoreTests.java
@@ -26,8 +26,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests for {@link HttpTableStore}. Guards against a failure that may have taken effect
- * and is reported as one that has not.
+ * Tests for {@link HttpTableStore}. Guards against reporting a failed call that may have
+ * taken effect as one that has not.
  *
  * @author banyanstile contributors
  */
