--- a/server/src/main/java/org/banyanstile/server/AppliedConfiguration.java
+++ b/server/src/main/java/org/banyanstile/server/AppliedConfiguration.java
@@ -35,7 +35,7 @@
 	 * Applies a version.
 	 * @param version the version
 	 * @param configuration its content
-	 * @return whether it was applied, which an equal or lower version is not
+	 * @return whether it was applied; an equal or lower version is not
 	 */
 	public boolean apply(long version, FleetConfiguration configuration) {
 		FleetServingConfiguration next = FleetServingConfiguration.of(version, configuration);
--- a/server/src/main/java/org/banyanstile/server/CoordinationView.java
+++ b/server/src/main/java/org/banyanstile/server/CoordinationView.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Ownership and slots as the coordination of this VM knows them.
+ * Partition ownership and slots according to the coordination state of this VM.
  *
  * @author banyanstile contributors
  */
@@ -41,7 +41,7 @@
 			return this.self;
 		}
 		VmId owner = this.coordination.ownerOf(partition).map(SlotRecord::vm).orElse(null);
-		// An own row without ownership is one that this VM lost or may not use now.
+		// If the row names this VM, the ownership was lost or may not be used now.
 		return this.self.equals(owner) ? null : owner;
 	}
 
@@ -67,7 +67,8 @@
 
 	@Override
 	public @Nullable Unheld unheld() {
-		// The time is read first: a scan in between makes it older than the rows.
+		// The time is read before the rows, so that a concurrent scan can only make
+		// it older than they are.
 		OptionalLong readAt = this.coordination.slotsReadAt();
 		if (readAt.isEmpty()) {
 			return null;
--- a/server/src/main/java/org/banyanstile/server/Daemon.java
+++ b/server/src/main/java/org/banyanstile/server/Daemon.java
@@ -33,15 +33,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A running VM of the fleet.
+ * Runs the router on one VM of the fleet.
  *
  * @author banyanstile contributors
  */
 public final class Daemon implements AutoCloseable {
 
-	private static final Duration ANSWER_RETENTION = Duration.ofSeconds(60);
+	private static final Duration RESPONSE_CACHE_RETENTION = Duration.ofSeconds(60);
 
-	private static final long ANSWER_BYTES = 16L * 1024 * 1024;
+	private static final long RESPONSE_CACHE_BYTES = 16L * 1024 * 1024;
 
 	private static final int MAX_BURN_SERIES = 10_000;
 
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	 * Starts a VM without coordination, with limits, slots and claims of its own.
+	 * Starts a VM without coordination, with local limits, slots and claims.
 	 * @param settings its settings
 	 * @param configuration the configuration
 	 * @return the running VM
@@ -150,7 +150,7 @@
 		return new RequestServices(DataCentreId.of(this.settings.dataCentre()), this.configuration, parts.serving(),
 				parts.limiter(), parts.slots(), parts.claims(), parts.directory(), new RetryAllowance(), this.engine,
 				ServiceClient.create(this.http), this.canceller, this.running,
-				AnswerMemory.create(ANSWER_RETENTION, ANSWER_BYTES, Ticker.system()), this.watch,
+				AnswerMemory.create(RESPONSE_CACHE_RETENTION, RESPONSE_CACHE_BYTES, Ticker.system()), this.watch,
 				RequestMetrics.create(this.registry, this.burn, Ticker.system()));
 	}
 
@@ -163,7 +163,7 @@
 	}
 
 	/**
-	 * Returns all meters as Prometheus text.
+	 * Returns all metrics in the Prometheus text format.
 	 * @return the text
 	 */
 	public String metrics() {
@@ -171,7 +171,7 @@
 	}
 
 	/**
-	 * Shuts down without cutting off a request: this VM leaves the list of VMs, serves
+	 * Shuts down without interrupting a request: this VM leaves the list of VMs, serves
 	 * for as long as callers may hold a cached list, waits for running requests, and
 	 * releases its partitions and slot.
 	 */
@@ -205,7 +205,7 @@
 	}
 
 	/**
-	 * Ends the VM at once.
+	 * Stops the VM immediately, without waiting for running requests.
 	 */
 	@Override
 	public void close() {
--- a/server/src/main/java/org/banyanstile/server/DaemonMain.java
+++ b/server/src/main/java/org/banyanstile/server/DaemonMain.java
@@ -50,7 +50,8 @@
 
 	private static void stop(Daemon daemon) {
 		daemon.shutDown();
-		// Log4j's own hook is off, because it would end logging before the shutdown.
+		// Log4j's own shutdown hook is disabled, because it would stop logging before
+		// the daemon has shut down.
 		LogManager.shutdown();
 	}
 
--- a/server/src/main/java/org/banyanstile/server/FleetMetrics.java
+++ b/server/src/main/java/org/banyanstile/server/FleetMetrics.java
@@ -11,7 +11,7 @@
 import org.banyanstile.server.vm.VmCounters;
 
 /**
- * Meters of the coordination of this VM.
+ * Registers the metrics of the coordination of this VM.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/FleetParts.java
+++ b/server/src/main/java/org/banyanstile/server/FleetParts.java
@@ -72,17 +72,17 @@
  */
 final class FleetParts implements AutoCloseable {
 
-	private static final long SECOND = 1000;
+	private static final long SECOND_MILLIS = 1000;
 
 	private static final long CONFIGURATION_MILLIS = 100;
 
-	private static final long WAITING_MILLIS = 20;
+	private static final long POOL_EXPIRY_MILLIS = 20;
 
 	private static final long RECONCILE_MILLIS = 2000;
 
-	private static final Duration FETCH = Duration.ofSeconds(1);
+	private static final Duration FETCH_TIMEOUT = Duration.ofSeconds(1);
 
-	private static final Duration RELEASE = Duration.ofSeconds(5);
+	private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(5);
 
 	private static final Logger logger = LogManager.getLogger(FleetParts.class);
 
@@ -194,13 +194,13 @@
 		this.peers.start();
 		this.loop.start(this.handlers);
 		repeat(CONFIGURATION_MILLIS, this::followConfiguration);
-		repeat(SECOND, this.limiter::update);
-		repeat(SECOND, this.directory::announceAgain);
-		repeat(WAITING_MILLIS, this.pools::expire);
+		repeat(SECOND_MILLIS, this.limiter::update);
+		repeat(SECOND_MILLIS, this.directory::announceAgain);
+		repeat(POOL_EXPIRY_MILLIS, this.pools::expire);
 		repeat(RECONCILE_MILLIS, this.reconciler::reconcile);
-		repeat(SECOND, this.claims::writeRetained);
+		repeat(SECOND_MILLIS, this.claims::writeRetained);
 		PeerStart start = PeerStart.create(this.rollout, new RolloutView(this.coordination, this.peers), this::fetch);
-		repeat(SECOND, start::run);
+		repeat(SECOND_MILLIS, start::run);
 	}
 
 	private ConfigPush currentConfiguration() {
@@ -211,11 +211,11 @@
 
 	private PeerFetch.@Nullable Fetched fetch(VmId vm) {
 		try {
-			ConfigPush push = this.peers.request(vm, new ConfigFetch(0), ConfigPush.class, FETCH);
+			ConfigPush push = this.peers.request(vm, new ConfigFetch(0), ConfigPush.class, FETCH_TIMEOUT);
 			return new PeerFetch.Fetched(push.version(), push.body());
 		}
 		catch (VmRequestException ex) {
-			// Asked again in the next second.
+			// Retried in the next second.
 			return null;
 		}
 	}
@@ -226,8 +226,8 @@
 				task.run();
 			}
 			catch (RuntimeException ex) {
-				// An exception would end the schedule.
-				logger.error("fleet task failed", ex);
+				// An uncaught exception would cancel the periodic task.
+				logger.error("periodic fleet task failed", ex);
 			}
 		}, millis, millis, TimeUnit.MILLISECONDS);
 	}
@@ -253,7 +253,7 @@
 			this.rollout.headRead(this.store.version(this.coordination.configHead().orElse(null)), headReadAt);
 		}
 		catch (StoreException ex) {
-			// Read again in the next round; without it the serving check closes.
+			// Retried in the next run; without a read the serving check fails.
 		}
 	}
 
@@ -268,7 +268,7 @@
 	}
 
 	/**
-	 * Returns the VM and epoch in whose name this VM calls engines.
+	 * Returns the VM and epoch that identify this VM in calls to engines.
 	 * @return the holder
 	 */
 	String holder() {
@@ -278,8 +278,8 @@
 	private List<MemberDirectory.Member> members() {
 		List<MemberDirectory.Member> members = new ArrayList<>();
 		for (SlotRecord row : this.coordination.members()) {
-			boolean gone = row.state() != VmState.LIVE || (this.leaving && row.vm().equals(this.view.self()));
-			if (!gone && isAlive(row.vm())) {
+			boolean notLive = row.state() != VmState.LIVE || (this.leaving && row.vm().equals(this.view.self()));
+			if (!notLive && isAlive(row.vm())) {
 				members.add(new MemberDirectory.Member(row.callerAddress(), row.dataCentre().name()));
 			}
 		}
@@ -298,14 +298,15 @@
 		boolean serving = mayServe();
 		String state = this.leaving ? "leaving" : (slot != null) ? "live" : "starting";
 		return new VmStatus(this.settings.vm(), this.settings.dataCentre(), state, serving,
-				serving ? "" : "no current evidence that this VM may serve", this.applied.current().version(),
+				serving ? "" : "no current confirmation that this VM may serve", this.applied.current().version(),
 				this.coordination.storeAgeMillis(), this.view.slot(), this.view.epoch(), running,
 				this.coordination.registered().size(), this.coordination.reports().size() + 1,
 				this.coordination.owned().keySet().stream().sorted().toList());
 	}
 
 	/**
-	 * Leaves the list of VMs and gives up partitions, while this VM goes on serving.
+	 * Removes this VM from the list of VMs and releases its partitions, while it
+	 * continues to serve.
 	 */
 	void leave() {
 		this.leaving = true;
@@ -317,8 +318,8 @@
 	 */
 	void release() {
 		try {
-			if (!this.loop.release(RELEASE)) {
-				logger.warn("the slot was not released and expires");
+			if (!this.loop.release(RELEASE_TIMEOUT)) {
+				logger.warn("the slot was not released in time and will expire");
 			}
 		}
 		catch (InterruptedException ex) {
--- a/server/src/main/java/org/banyanstile/server/LocalClaimService.java
+++ b/server/src/main/java/org/banyanstile/server/LocalClaimService.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Once-only claims in the memory of this VM, bounded in number. Right only in a fleet of
- * one VM that is not restarted.
+ * In-memory claims for calls that must run at most once, bounded in number. Correct only
+ * in a fleet of one VM that is not restarted.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/LocalSlotSource.java
+++ b/server/src/main/java/org/banyanstile/server/LocalSlotSource.java
@@ -14,8 +14,8 @@
 import org.banyanstile.server.caller.SlotSource;
 
 /**
- * Slots that this VM manages by itself: its share of the capacity of each endpoint, least
- * loaded first. Used where a pool has no owner that can be reached.
+ * Grants endpoint slots from this VM's share of the capacity of each endpoint, least
+ * loaded endpoint first. Used where a pool has no reachable owner.
  *
  * @author banyanstile contributors
  */
@@ -37,7 +37,7 @@
 	/**
 	 * Creates a source.
 	 * @param configuration the configuration
-	 * @param vms gives the number of VMs that share the capacity
+	 * @param vms supplies the number of VMs that share the capacity
 	 * @return the source
 	 */
 	public static LocalSlotSource create(ConfigurationView configuration, IntSupplier vms) {
@@ -49,8 +49,8 @@
 		long deadline = System.nanoTime() + demand.deadlineMillis() * 1_000_000;
 		Optional<EndpointTarget> target = free(demand);
 		while (target.isEmpty()) {
-			long left = (deadline - System.nanoTime()) / 1_000_000;
-			if (left <= 0 || !await(left)) {
+			long remainingMillis = (deadline - System.nanoTime()) / 1_000_000;
+			if (remainingMillis <= 0 || !await(remainingMillis)) {
 				return new SlotDecision.Overloaded(RETRY_MILLIS);
 			}
 			target = free(demand);
@@ -93,7 +93,7 @@
 
 	@Override
 	public void renew(SlotDecision.Granted slot) {
-		// A slot of this VM ends with its release.
+		// A local slot is held until it is released.
 	}
 
 	@Override
--- a/server/src/main/java/org/banyanstile/server/LocalTeamLimiter.java
+++ b/server/src/main/java/org/banyanstile/server/LocalTeamLimiter.java
@@ -10,7 +10,7 @@
 import org.banyanstile.server.caller.TeamLimiter;
 
 /**
- * Token buckets that hold each team's whole rate and burst. Right only in a fleet of one
+ * Token buckets with the full rate and burst of each team. Correct only in a fleet of one
  * VM.
  *
  * @author banyanstile contributors
--- a/server/src/main/java/org/banyanstile/server/RequestParts.java
+++ b/server/src/main/java/org/banyanstile/server/RequestParts.java
@@ -8,12 +8,12 @@
 import org.banyanstile.server.caller.TeamLimiter;
 
 /**
- * The parts that differ between a fleet and a single VM without coordination.
+ * Components that differ between a fleet and a single VM without coordination.
  *
  * @param serving the serving check
  * @param limiter rates and bursts
- * @param slots slots of endpoints
- * @param claims once-only claims
+ * @param slots endpoint slots
+ * @param claims claims of calls that must run at most once
  * @param directory running requests of the fleet
  * @param members the VMs that callers may use
  * @author banyanstile contributors
--- a/server/src/main/java/org/banyanstile/server/RetryAllowance.java
+++ b/server/src/main/java/org/banyanstile/server/RetryAllowance.java
@@ -4,7 +4,7 @@
 import org.banyanstile.server.caller.RetryPermits;
 
 /**
- * Budget for retries inside this VM: a tenth of its requests.
+ * Limits the retries inside this VM to a tenth of its requests.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/RolloutView.java
+++ b/server/src/main/java/org/banyanstile/server/RolloutView.java
@@ -12,7 +12,7 @@
 import org.banyanstile.server.vm.VmPeers;
 
 /**
- * What the rollout of configurations knows about the fleet.
+ * View of the fleet for the rollout of configurations.
  *
  * @author banyanstile contributors
  */
--- a/server/src/test/java/org/banyanstile/server/ChatTests.java
+++ b/server/src/test/java/org/banyanstile/server/ChatTests.java
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Guards against an answer with a hole after a lost chunk.
+	 * Guards against a response with missing text after a lost chunk.
 	 */
 	@Test
 	void resumesAtTheExactOffsetAfterAGap() throws Exception {
@@ -79,7 +79,7 @@
 	}
 
 	/**
-	 * Guards against text of another request in an answer.
+	 * Guards against text of another request in a response.
 	 */
 	@Test
 	void resumesAtTheExactOffsetAfterAChunkOfAnotherRequest() throws Exception {
@@ -108,8 +108,8 @@
 	}
 
 	/**
-	 * Guards against engine memory that stays held after a disconnect while the engine is
-	 * silent.
+	 * Guards against engine memory that stays reserved after a disconnect while the
+	 * engine is silent.
 	 */
 	@Test
 	void cancelsWithinASecondOfADisconnectOfAStream() throws Exception {
@@ -139,7 +139,7 @@
 	}
 
 	@Test
-	void writesSignsOfLifeWhileTheEngineIsSilent() throws Exception {
+	void writesKeepAlivesWhileTheEngineIsSilent() throws Exception {
 		this.decode.decode = (exchange, id, from) -> this.decode.silence();
 		try (HttpResponse response = this.vm.send(this.vm.chat(true))) {
 			assertThat(response.line(100), is(": keep-alive"));
@@ -175,7 +175,7 @@
 	}
 
 	/**
-	 * Guards against an endpoint that sees a caller's key.
+	 * Guards against an endpoint that receives a caller's key.
 	 */
 	@Test
 	void engineNeverSeesTheKey() throws Exception {
@@ -190,7 +190,8 @@
 	}
 
 	/**
-	 * Guards against two answers to one request, and against a splice of two runs.
+	 * Guards against two responses to one request, and against a response that mixes the
+	 * text of two runs.
 	 */
 	@Test
 	void repeatTakesTheStreamOver() throws Exception {
@@ -250,7 +251,7 @@
 	}
 
 	/**
-	 * Guards against a shutdown that cuts off a running answer.
+	 * Guards against a shutdown that interrupts a running response.
 	 */
 	@Test
 	void shutdownCompletesARunningAnswer() throws Exception {
--- a/server/src/test/java/org/banyanstile/server/FakeEngine.java
+++ b/server/src/test/java/org/banyanstile/server/FakeEngine.java
@@ -29,17 +29,17 @@
 	public final List<Long> opened = new CopyOnWriteArrayList<>();
 
 	/**
-	 * Head and body of every request, to look for keys.
+	 * Head and body of every request, to check them for keys.
 	 */
 	public final List<String> received = new CopyOnWriteArrayList<>();
 
 	/**
-	 * Number of words of an answer.
+	 * Number of words in a response.
 	 */
 	public volatile int words = 5;
 
 	/**
-	 * Writes a decode connection; replaced by tests.
+	 * Writes a decode response; replaced by tests.
 	 */
 	public volatile Decode decode = this::answer;
 
@@ -106,7 +106,7 @@
 	}
 
 	/**
-	 * Writes the rest of an answer.
+	 * Writes the rest of a response.
 	 * @param exchange the exchange
 	 * @param requestId identifier of the request
 	 * @param from offset of the first word
@@ -161,7 +161,7 @@
 	}
 
 	/**
-	 * Writes a decode connection.
+	 * Writes a decode response.
 	 *
 	 * @author banyanstile contributors
 	 */
@@ -169,7 +169,7 @@
 	public interface Decode {
 
 		/**
-		 * Writes the connection.
+		 * Writes the response.
 		 * @param exchange the exchange
 		 * @param requestId identifier of the request
 		 * @param from offset of the first word
--- a/server/src/test/java/org/banyanstile/server/ServiceTests.java
+++ b/server/src/test/java/org/banyanstile/server/ServiceTests.java
@@ -143,7 +143,7 @@
 	}
 
 	/**
-	 * Guards against an endpoint that sees a caller's key in a header or the query.
+	 * Guards against an endpoint that receives a caller's key in a header or the query.
 	 */
 	@Test
 	void serviceNeverSeesTheKey() throws Exception {
