--- a/io/src/main/java/org/banyanstile/io/frame/FrameConnection.java
+++ b/io/src/main/java/org/banyanstile/io/frame/FrameConnection.java
@@ -12,15 +12,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Blocking connection that carries frames: a length of four bytes, big-endian, and that
- * many bytes of content. One thread may read while several write.
+ * Blocking connection for frames: a four-byte big-endian length, followed by that many
+ * bytes of content. One thread may read while several threads write.
  *
  * @author banyanstile contributors
  */
 public final class FrameConnection implements AutoCloseable {
 
 	/**
-	 * Largest content of a frame in bytes.
+	 * Maximum size of the content of a frame in bytes.
 	 */
 	public static final int MAX_BYTES = 1024 * 1024;
 
@@ -32,13 +32,13 @@
 
 	private final OutputStream out;
 
-	private final Object writing = new Object();
+	private final Object writeLock = new Object();
 
 	private final AtomicLong bytesSent = new AtomicLong();
 
 	private final AtomicLong bytesReceived = new AtomicLong();
 
-	private volatile long writeBegan = NOT_WRITING;
+	private volatile long writeStartNanos = NOT_WRITING;
 
 	private FrameConnection(Socket socket) throws IOException {
 		this.socket = socket;
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Sets the longest wait of a read, after which the connection must be closed.
-	 * @param millis the time in milliseconds, 0 for no limit
+	 * Sets the read timeout. The connection must be closed after a timeout.
+	 * @param millis the timeout in milliseconds, 0 for no limit
 	 * @throws IOException if the socket is closed
 	 */
 	public void setReadTimeout(int millis) throws IOException {
@@ -81,7 +81,8 @@
 			return null;
 		}
 		if (length <= 0 || length > MAX_BYTES) {
-			throw new MalformedFrameException("frame of " + Integer.toUnsignedString(length) + " bytes", null);
+			throw new MalformedFrameException("invalid frame length: " + Integer.toUnsignedString(length)
+					+ " bytes, allowed are 1 to " + MAX_BYTES, null);
 		}
 		byte[] content = new byte[length];
 		this.in.readFully(content);
@@ -96,36 +97,37 @@
 	 */
 	public void send(byte[] content) throws IOException {
 		if (content.length == 0 || content.length > MAX_BYTES) {
-			throw new MalformedFrameException("frame of " + content.length + " bytes", null);
+			throw new MalformedFrameException(
+					"invalid frame length: " + content.length + " bytes, allowed are 1 to " + MAX_BYTES, null);
 		}
 		byte[] frame = ByteBuffer.allocate(Integer.BYTES + content.length).putInt(content.length).put(content).array();
-		synchronized (this.writing) {
-			this.writeBegan = System.nanoTime();
+		synchronized (this.writeLock) {
+			this.writeStartNanos = System.nanoTime();
 			try {
 				this.out.write(frame);
 			}
 			finally {
-				this.writeBegan = NOT_WRITING;
+				this.writeStartNanos = NOT_WRITING;
 			}
 		}
 		this.bytesSent.addAndGet(frame.length);
 	}
 
 	/**
-	 * Returns whether a write has been blocked for some time, because the peer does not
-	 * read.
+	 * Returns whether a write has been blocked for longer than a time because the peer
+	 * does not read.
 	 * @param now the current {@link System#nanoTime()}
-	 * @param nanos the time
-	 * @return whether it has
+	 * @param nanos the time in nanoseconds
+	 * @return whether a write is blocked for longer
 	 */
 	public boolean isWriteBlocked(long now, long nanos) {
-		long began = this.writeBegan;
-		return began != NOT_WRITING && now - began > nanos;
+		long start = this.writeStartNanos;
+		return start != NOT_WRITING && now - start > nanos;
 	}
 
 	/**
 	 * Returns the number of bytes written.
-	 * @return the number, with lengths
+	 * @return the number, including the length fields
 	 */
 	public long bytesSent() {
 		return this.bytesSent.get();
@@ -133,14 +135,14 @@
 
 	/**
 	 * Returns the number of bytes read.
-	 * @return the number, with lengths
+	 * @return the number, including the length fields
 	 */
 	public long bytesReceived() {
 		return this.bytesReceived.get();
 	}
 
 	/**
-	 * Closes the socket; threads blocked in it get an {@link IOException}.
+	 * Closes the socket. Threads that are blocked on it get an {@link IOException}.
 	 */
 	@Override
 	public void close() {
@@ -148,7 +150,7 @@
 			this.socket.close();
 		}
 		catch (IOException ex) {
-			// The socket is unusable either way.
+			// The socket cannot be used any more in either case.
 		}
 	}
 
--- a/io/src/main/java/org/banyanstile/io/frame/MessageCodec.java
+++ b/io/src/main/java/org/banyanstile/io/frame/MessageCodec.java
@@ -23,7 +23,7 @@
 public final class MessageCodec {
 
 	/**
-	 * Version of the protocol; a frame with another one is malformed.
+	 * Version of the protocol. A frame with another version is malformed.
 	 */
 	public static final int PROTOCOL_VERSION = 1;
 
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Creates a codec without types.
+	 * Creates a codec without registered types.
 	 * @return the codec
 	 */
 	public static MessageCodec create() {
@@ -45,21 +45,21 @@
 	}
 
 	/**
-	 * Adds a message type under its simple name. All types must be added before the first
-	 * message is converted.
+	 * Registers a message type under its simple name. All types must be registered before
+	 * the first message is converted.
 	 * @param type the record type
 	 * @return this codec
 	 */
 	public MessageCodec register(Class<? extends Record> type) {
 		Class<?> other = this.types.putIfAbsent(type.getSimpleName(), type);
 		if (other != null && other != type) {
-			throw new IllegalArgumentException("two message types are named " + type.getSimpleName());
+			throw new IllegalArgumentException("duplicate message type name: " + type.getSimpleName());
 		}
 		return registerNested(type);
 	}
 
 	/**
-	 * Adds a record type that occurs only inside messages.
+	 * Registers a record type that occurs only inside messages.
 	 * @param type the record type
 	 * @return this codec
 	 */
@@ -100,7 +100,8 @@
 	public Message decode(byte[] frame) throws MalformedFrameException {
 		try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
 			if (unpacker.unpackArrayHeader() != ENVELOPE_ELEMENTS) {
-				throw new MalformedFrameException("the frame is not an array of " + ENVELOPE_ELEMENTS, null);
+				throw new MalformedFrameException("the frame is not an array of " + ENVELOPE_ELEMENTS + " elements",
+						null);
 			}
 			int version = unpacker.unpackInt();
 			if (version != PROTOCOL_VERSION) {
--- a/io/src/main/java/org/banyanstile/io/http/CallHandle.java
+++ b/io/src/main/java/org/banyanstile/io/http/CallHandle.java
@@ -26,9 +26,9 @@
 	}
 
 	/**
-	 * Sets what the call waits for. Closing a connection does not fail a response that is
-	 * still to come.
-	 * @param next fails when the call is cancelled
+	 * Sets the future that the call waits for. It must be failed explicitly, because
+	 * closing a connection does not fail a pending response.
+	 * @param next completed exceptionally when the call is cancelled
 	 */
 	synchronized void waitFor(CompletableFuture<?> next) {
 		this.pending = next;
@@ -38,7 +38,8 @@
 	}
 
 	/**
-	 * Forgets the connection of the last call, which may go back to its pool.
+	 * Clears the reference to the connection of the last call, which may return to its
+	 * pool.
 	 */
 	public synchronized void end() {
 		this.connection = null;
--- a/io/src/main/java/org/banyanstile/io/http/ConnectFailedException.java
+++ b/io/src/main/java/org/banyanstile/io/http/ConnectFailedException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * No connection was made, so no byte of the request was sent.
+ * No connection was established, so no byte of the request was sent.
  *
  * @author banyanstile contributors
  */
--- a/io/src/main/java/org/banyanstile/io/http/HttpClient.java
+++ b/io/src/main/java/org/banyanstile/io/http/HttpClient.java
@@ -77,7 +77,8 @@
 	 * Sends a request and waits for the head of the response.
 	 * @param request the request
 	 * @return the response, which the caller must close
-	 * @throws ConnectFailedException if no connection was made, so nothing was sent
+	 * @throws ConnectFailedException if no connection was established, so nothing was
+	 * sent
 	 * @throws HttpException if no response head arrived
 	 */
 	public HttpResponse send(HttpRequest request) throws HttpException {
@@ -88,9 +89,10 @@
 	 * Sends a request that another thread can cancel, and waits for the head of the
 	 * response.
 	 * @param request the request
-	 * @param handle cancels the call; it can be used again after the call
+	 * @param handle handle that can cancel the call; it can be used for a later call
 	 * @return the response, which the caller must close
-	 * @throws ConnectFailedException if no connection was made, so nothing was sent
+	 * @throws ConnectFailedException if no connection was established, so nothing was
+	 * sent
 	 * @throws HttpException if no response head arrived
 	 */
 	public HttpResponse send(HttpRequest request, CallHandle handle) throws HttpException {
@@ -116,17 +118,17 @@
 
 	private HttpResponse exchange(HttpRequest request, HttpConnection connection, CallHandle handle)
 			throws IOException, HttpException {
-		CompletableFuture<ResponseStart> answered = new CompletableFuture<>();
-		handle.waitFor(answered);
+		CompletableFuture<ResponseStart> responseStart = new CompletableFuture<>();
+		handle.waitFor(responseStart);
 		ClientRequest head = head(request);
-		RequestWriter writer = new RequestWriter(request.body(), answered::completeExceptionally);
+		RequestWriter writer = new RequestWriter(request.body(), responseStart::completeExceptionally);
 		try {
-			connection.execute(() -> connection.send(head, new StartCallback(connection, writer, answered)));
+			connection.execute(() -> connection.send(head, new StartCallback(connection, writer, responseStart)));
 		}
 		catch (RejectedExecutionException ex) {
 			throw new ConnectFailedException("the client is closed", ex);
 		}
-		ResponseStart start = await(answered, request);
+		ResponseStart start = await(responseStart, request);
 		return new HttpResponse(this, request, connection, writer, start.head(), start.reader());
 	}
 
@@ -179,7 +181,7 @@
 		if (newest == null) {
 			return null;
 		}
-		if (now - newest.since() > request.maxIdle().toNanos()) {
+		if (now - newest.lastUsed() > request.maxIdle().toNanos()) {
 			connections.addFirst(newest);
 			return null;
 		}
@@ -195,7 +197,7 @@
 			.connect(URI.create("http://" + address), this.worker, this.buffers, OptionMap.EMPTY);
 		if (future.await(timeout.toMillis(), TimeUnit.MILLISECONDS) != IoFuture.Status.DONE) {
 			future.cancel();
-			// The connection can be made between the end of the wait and the
+			// The connection can be established between the timeout and the
 			// cancellation.
 			future.addNotifier(new CloseLateConnection(), null);
 			throw new ConnectFailedException("no connection to " + address, failure(future));
@@ -224,13 +226,13 @@
 
 	/**
 	 * Closes the connections that have been idle for longer than a time.
-	 * @param age the time
+	 * @param age the longest idle time
 	 */
 	public void closeIdle(Duration age) {
 		long oldest = System.nanoTime() - age.toNanos();
 		for (Deque<IdleConnection> connections : this.idle.values()) {
 			IdleConnection last = connections.peekLast();
-			while (last != null && last.since() < oldest && connections.removeLastOccurrence(last)) {
+			while (last != null && last.lastUsed() < oldest && connections.removeLastOccurrence(last)) {
 				last.connection().abort();
 				last = connections.peekLast();
 			}
@@ -238,7 +240,7 @@
 	}
 
 	/**
-	 * Closes all connections and ends the I/O threads.
+	 * Closes all connections and stops the I/O threads.
 	 */
 	@Override
 	public void close() {
@@ -258,51 +260,51 @@
 	}
 
 	/**
-	 * Writes the body when the head of a request was taken.
+	 * Starts writing the body of a request after Undertow accepted its head.
 	 *
 	 * @param connection the connection
 	 * @param writer writes the body
-	 * @param answered completed when the response head has arrived
+	 * @param responseStart completed when the response head has arrived
 	 * @author banyanstile contributors
 	 */
 	private record StartCallback(HttpConnection connection, RequestWriter writer,
-			CompletableFuture<ResponseStart> answered) implements ClientCallback<ClientExchange> {
+			CompletableFuture<ResponseStart> responseStart) implements ClientCallback<ClientExchange> {
 
 		@Override
 		public void completed(ClientExchange exchange) {
-			exchange.setResponseListener(new ResponseCallback(this.connection, this.answered));
+			exchange.setResponseListener(new ResponseCallback(this.connection, this.responseStart));
 			this.writer.start(exchange.getRequestChannel());
 		}
 
 		@Override
 		public void failed(IOException ex) {
-			this.answered.completeExceptionally(ex);
+			this.responseStart.completeExceptionally(ex);
 		}
 
 	}
 
 	/**
-	 * Begins to read the body when the head of a response has arrived.
+	 * Starts reading the body after the head of a response has arrived.
 	 *
 	 * @param connection the connection
-	 * @param answered completed when the response head has arrived
+	 * @param responseStart completed when the response head has arrived
 	 * @author banyanstile contributors
 	 */
 	private record ResponseCallback(HttpConnection connection,
-			CompletableFuture<ResponseStart> answered) implements ClientCallback<ClientExchange> {
+			CompletableFuture<ResponseStart> responseStart) implements ClientCallback<ClientExchange> {
 
 		@Override
 		public void completed(ClientExchange exchange) {
 			ResponseReader reader = new ResponseReader(this.connection, exchange.getResponseChannel());
-			// A body that breaks off at once fails this callback too, which must not hide
-			// the head.
-			this.answered.complete(new ResponseStart(exchange.getResponse(), reader));
+			// A body that is truncated at once also fails this callback, which must not
+			// hide the head.
+			this.responseStart.complete(new ResponseStart(exchange.getResponse(), reader));
 			reader.start();
 		}
 
 		@Override
 		public void failed(IOException ex) {
-			this.answered.completeExceptionally(ex);
+			this.responseStart.completeExceptionally(ex);
 		}
 
 	}
@@ -311,15 +313,15 @@
 	 * A pooled connection.
 	 *
 	 * @param connection the connection
-	 * @param since {@link System#nanoTime()} at the end of its last use
+	 * @param lastUsed {@link System#nanoTime()} at the end of its last use
 	 * @author banyanstile contributors
 	 */
-	private record IdleConnection(HttpConnection connection, long since) {
+	private record IdleConnection(HttpConnection connection, long lastUsed) {
 
 	}
 
 	/**
-	 * Closes a connection that nobody waits for any more.
+	 * Closes a connection that was established after the connect timeout.
 	 */
 	private static final class CloseLateConnection extends IoFuture.HandlingNotifier<ClientConnection, Object> {
 
--- a/io/src/main/java/org/banyanstile/io/http/HttpConnection.java
+++ b/io/src/main/java/org/banyanstile/io/http/HttpConnection.java
@@ -10,9 +10,9 @@
 import org.xnio.IoUtils;
 
 /**
- * Connection of {@link HttpClient}. Keeps whether this side has closed it, since
- * Undertow's {@link ClientConnection#isOpen()} also says {@code false} while a response
- * arrives after which the peer will close.
+ * Connection of {@link HttpClient}. Records whether this side has closed it, because
+ * Undertow's {@link ClientConnection#isOpen()} also returns {@code false} during a
+ * response after which the peer will close the connection.
  *
  * @author banyanstile contributors
  */
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * Sends the head of a request. Called on the I/O thread.
+	 * Sends the head of a request. Must be called on the I/O thread.
 	 * @param head the head
 	 * @param callback called with the exchange
 	 */
@@ -53,9 +53,9 @@
 	}
 
 	/**
-	 * Closes the socket at once. Undertow's own close only ends the request that is being
-	 * written and waits for the rest of the response, so a server would go on with a
-	 * request that nobody waits for.
+	 * Closes the socket immediately. Undertow's own close only ends the request that is
+	 * being written and waits for the rest of the response, so a server would continue
+	 * with a request that has been abandoned.
 	 */
 	void abort() {
 		this.aborted = true;
@@ -63,8 +63,8 @@
 			execute(this::close);
 		}
 		catch (RejectedExecutionException ex) {
-			// The client was closed, and its I/O threads closed their sockets at their
-			// end.
+			// The client was closed, and its I/O threads closed their sockets when they
+			// stopped.
 		}
 	}
 
@@ -73,7 +73,7 @@
 			IoUtils.safeClose(this.connection.performUpgrade());
 		}
 		catch (IOException ex) {
-			// It was upgraded by an earlier abort.
+			// An earlier abort has already upgraded the connection.
 			IoUtils.safeClose(this.connection);
 		}
 	}
--- a/io/src/main/java/org/banyanstile/io/http/HttpRequest.java
+++ b/io/src/main/java/org/banyanstile/io/http/HttpRequest.java
@@ -13,14 +13,14 @@
  * {@code 127.0.0.1:8101}
  * @param path path with query
  * @param headers header fields
- * @param body the body, empty for none
- * @param timeout longest wait for the connection, and again for the response head
+ * @param body the body, empty if there is none
+ * @param timeout longest wait for the connection, and separately for the response head
  * @param connectTimeout longest wait for a new connection
- * @param maxIdle a pooled connection is used only if it was in use less than this long
- * ago; zero asks for a new connection. A pooled one can break after the request was sent,
- * which leaves the outcome of a non-idempotent call unknown
- * @param pool name of the pool; an answer that arrives late on a pooled connection can
- * only meet requests of the same pool
+ * @param maxIdle longest idle time of a pooled connection that is reused; zero requires a
+ * new connection. A pooled one can break after the request was sent, which leaves the
+ * outcome of a non-idempotent call unknown
+ * @param pool name of the connection pool; a late response on a pooled connection can
+ * only be received by a request of the same pool
  * @author banyanstile contributors
  */
 public record HttpRequest(String method, String address, String path, Map<String, String> headers, byte[] body,
@@ -41,8 +41,9 @@
 	 * @param address address of the peer as {@code ip:port}
 	 * @param path path with query
 	 * @param headers header fields
-	 * @param body the body, empty for none
-	 * @param timeout longest wait for the connection, and again for the response head
+	 * @param body the body, empty if there is none
+	 * @param timeout longest wait for the connection, and separately for the response
+	 * head
 	 * @param freshConnection whether a new connection must be used
 	 */
 	public HttpRequest(String method, String address, String path, Map<String, String> headers, byte[] body,
@@ -98,7 +99,8 @@
 
 	/**
 	 * Returns a copy with another timeout.
-	 * @param timeout longest wait for the connection, and again for the response head
+	 * @param timeout longest wait for the connection, and separately for the response
+	 * head
 	 * @return the copy
 	 */
 	public HttpRequest withTimeout(Duration timeout) {
@@ -125,8 +127,8 @@
 	}
 
 	/**
-	 * Returns a copy with another longest wait for a new connection.
-	 * @param connectTimeout the time
+	 * Returns a copy with another connect timeout.
+	 * @param connectTimeout longest wait for a new connection
 	 * @return the copy
 	 */
 	public HttpRequest withConnectTimeout(Duration connectTimeout) {
--- a/io/src/main/java/org/banyanstile/io/http/HttpResponse.java
+++ b/io/src/main/java/org/banyanstile/io/http/HttpResponse.java
@@ -17,8 +17,8 @@
  * An HTTP response whose body is read by the calling thread. Not safe for use by several
  * threads, except that {@link #close()} may be called by any thread.
  * <p>
- * Closing a response before its end closes the connection, so that its remaining bytes
- * can never be taken for the answer to another request.
+ * Closing a response before the end of its body closes the connection, so that the
+ * remaining bytes cannot be read as the response to another request.
  *
  * @author banyanstile contributors
  */
@@ -80,7 +80,7 @@
 	}
 
 	/**
-	 * Returns the header fields in their order.
+	 * Returns the header fields in the order of the response.
 	 * @return names and values
 	 */
 	public List<Map.Entry<String, String>> headers() {
@@ -94,7 +94,7 @@
 	}
 
 	/**
-	 * Marks the connection as unfit for another request.
+	 * Prevents reuse of the connection for another request.
 	 */
 	public synchronized void discard() {
 		this.reusable = false;
@@ -104,7 +104,7 @@
 	 * Waits for more bytes of the body.
 	 * @return the bytes, which are valid until the next call, or {@code null} at the end
 	 * of the body
-	 * @throws HttpException if the connection broke or was too slow
+	 * @throws HttpException if the connection broke or the read timed out
 	 */
 	public @Nullable ByteBuffer next() throws HttpException {
 		if (!fill()) {
@@ -116,8 +116,8 @@
 	}
 
 	/**
-	 * Sets the longest time that a read waits for more bytes.
-	 * @param timeout the time
+	 * Sets the read timeout.
+	 * @param timeout the longest time that a read waits for more bytes
 	 */
 	public void setReadTimeout(Duration timeout) {
 		this.timeout = timeout;
@@ -127,7 +127,8 @@
 	 * Reads the rest of the body as UTF-8 text and releases the connection.
 	 * @param maxBytes largest permitted size in bytes
 	 * @return the text
-	 * @throws HttpException if the connection broke, was too slow, or the body is larger
+	 * @throws HttpException if the connection broke, a read timed out, or the body is
+	 * larger
 	 */
 	public String text(int maxBytes) throws HttpException {
 		return new String(bytes(maxBytes), StandardCharsets.UTF_8);
@@ -137,7 +138,8 @@
 	 * Reads the rest of the body and releases the connection.
 	 * @param maxBytes largest permitted size in bytes
 	 * @return the bytes
-	 * @throws HttpException if the connection broke, was too slow, or the body is larger
+	 * @throws HttpException if the connection broke, a read timed out, or the body is
+	 * larger
 	 */
 	public byte[] bytes(int maxBytes) throws HttpException {
 		try (this) {
@@ -146,7 +148,7 @@
 				out.write(this.buffer.array(), this.buffer.position(), this.buffer.remaining());
 				this.buffer.position(this.buffer.limit());
 				if (out.size() > maxBytes) {
-					throw new ConnectionBrokenException("response of " + this.address + " is over " + maxBytes + " bytes",
+					throw new ConnectionBrokenException("response from " + this.address + " exceeds " + maxBytes + " bytes",
 							null);
 				}
 			}
@@ -158,7 +160,8 @@
 	 * Reads one line, without its line feed.
 	 * @param maxBytes largest permitted size of the line in bytes
 	 * @return the line, or {@code null} at the end of the body
-	 * @throws HttpException if the connection broke, was too slow, or the line is longer
+	 * @throws HttpException if the connection broke, a read timed out, or the line is
+	 * longer
 	 */
 	public @Nullable String line(int maxBytes) throws HttpException {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -169,7 +172,7 @@
 			}
 			out.write(b);
 			if (out.size() > maxBytes) {
-				throw new ConnectionBrokenException("line of " + this.address + " is over " + maxBytes + " bytes",
+				throw new ConnectionBrokenException("line from " + this.address + " exceeds " + maxBytes + " bytes",
 						null);
 			}
 		}
@@ -177,7 +180,8 @@
 	}
 
 	/**
-	 * Releases the connection: back to the pool after the end of the body, closed before.
+	 * Releases the connection. It can return to the pool if the exchange is complete and
+	 * {@link #discard()} was not called, and is closed otherwise.
 	 */
 	@Override
 	public synchronized void close() {
@@ -185,8 +189,8 @@
 			return;
 		}
 		this.closed = true;
-		boolean clean = this.ended && this.reusable && this.writer.isWritten();
-		this.client.release(this.request, this.connection, clean);
+		boolean complete = this.ended && this.reusable && this.writer.isWritten();
+		this.client.release(this.request, this.connection, complete);
 	}
 
 	private boolean fill() throws HttpException {
@@ -212,7 +216,7 @@
 	private int read() throws IOException, ResponseTimeoutException {
 		int n = this.reader.read(this.buffer, this.timeout.toMillis());
 		if (n == 0) {
-			throw new ResponseTimeoutException(this.address + " sent nothing for " + this.timeout.toMillis() + " ms",
+			throw new ResponseTimeoutException(this.address + " sent no data for " + this.timeout.toMillis() + " ms",
 					null);
 		}
 		return n;
--- a/io/src/main/java/org/banyanstile/io/http/RequestWriter.java
+++ b/io/src/main/java/org/banyanstile/io/http/RequestWriter.java
@@ -18,21 +18,21 @@
 
 	private final ByteBuffer body;
 
-	private final Consumer<IOException> failed;
+	private final Consumer<IOException> onFailure;
 
 	private boolean shutDown;
 
 	private volatile boolean written;
 
-	RequestWriter(byte[] body, Consumer<IOException> failed) {
+	RequestWriter(byte[] body, Consumer<IOException> onFailure) {
 		this.body = ByteBuffer.wrap(body);
-		this.failed = failed;
+		this.onFailure = onFailure;
 	}
 
 	/**
-	 * Returns whether the request was sent whole. A connection on which the rest of a
-	 * request is due must not carry another one.
-	 * @return whether it was
+	 * Returns whether the whole request was sent. A connection with a partly sent request
+	 * must not be reused.
+	 * @return whether it was sent
 	 */
 	boolean isWritten() {
 		return this.written;
@@ -55,10 +55,10 @@
 			}
 		}
 		catch (IOException ex) {
-			this.failed.accept(ex);
+			this.onFailure.accept(ex);
 		}
 		catch (RuntimeException ex) {
-			this.failed.accept(new IOException("the request could not be written", ex));
+			this.onFailure.accept(new IOException("cannot write the request", ex));
 		}
 	}
 
@@ -76,7 +76,7 @@
 			return channel.flush();
 		}
 		catch (ClosedChannelException ex) {
-			// The client detaches the channel as soon as the request is sent. If the
+			// Undertow detaches the channel as soon as the request is sent. If the
 			// connection broke instead, the response fails.
 			return true;
 		}
--- a/io/src/main/java/org/banyanstile/io/http/ResponseReader.java
+++ b/io/src/main/java/org/banyanstile/io/http/ResponseReader.java
@@ -12,14 +12,14 @@
 /**
  * Passes the body of a response from the I/O thread of its connection to the thread that
  * waits for it. The I/O thread stops reading while the buffer is full, so a slow reader
- * holds back the peer.
+ * applies backpressure to the peer.
  *
  * @author banyanstile contributors
  */
 final class ResponseReader implements ChannelListener<StreamSourceChannel> {
 
 	/**
-	 * Some tens of stream events, or a usual plain response.
+	 * Holds some tens of stream events, or a typical response of a plain service.
 	 */
 	private static final int BUFFER_BYTES = 8192;
 
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	 * Begins to read. Called on the I/O thread.
+	 * Starts reading. Called on the I/O thread.
 	 */
 	void start() {
 		this.channel.getReadSetter().set(this);
@@ -76,16 +76,16 @@
 			this.failure = ex;
 		}
 		catch (RuntimeException ex) {
-			this.failure = new IOException("the response could not be read", ex);
+			this.failure = new IOException("cannot read the response", ex);
 		}
 		notifyAll();
 	}
 
 	/**
 	 * Waits for bytes of the body.
-	 * @param target filled with the bytes
+	 * @param target buffer that receives the bytes
 	 * @param millis longest wait in milliseconds
-	 * @return the number of bytes, 0 if none came in time, -1 at the end of the body
+	 * @return the number of bytes, 0 if the wait timed out, -1 at the end of the body
 	 * @throws IOException if the connection broke or was closed
 	 */
 	synchronized int read(ByteBuffer target, long millis) throws IOException {
@@ -100,11 +100,11 @@
 			if (this.connection.isAborted()) {
 				throw new ClosedChannelException();
 			}
-			long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-			if (left <= 0) {
+			long remaining = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+			if (remaining <= 0) {
 				return 0;
 			}
-			await(Math.min(left, CLOSE_CHECK_MILLIS));
+			await(Math.min(remaining, CLOSE_CHECK_MILLIS));
 		}
 		this.received.flip();
 		int n = Math.min(this.received.remaining(), target.remaining());
--- a/io/src/main/java/org/banyanstile/io/http/ResponseTimeoutException.java
+++ b/io/src/main/java/org/banyanstile/io/http/ResponseTimeoutException.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The peer sent nothing for the permitted time; the request may have been processed.
+ * The peer sent no data within the timeout. The request may have been processed.
  *
  * @author banyanstile contributors
  */
--- a/io/src/test/java/org/banyanstile/io/frame/FrameConnectionTests.java
+++ b/io/src/test/java/org/banyanstile/io/frame/FrameConnectionTests.java
@@ -102,7 +102,7 @@
 	/**
 	 * Nested record.
 	 *
-	 * @param value the name
+	 * @param value the value
 	 * @author banyanstile contributors
 	 */
 	public record Name(String value) {
--- a/io/src/test/java/org/banyanstile/io/http/HttpClientTests.java
+++ b/io/src/test/java/org/banyanstile/io/http/HttpClientTests.java
@@ -143,7 +143,7 @@
 			CompletableFuture<Integer> end = CompletableFuture.supplyAsync(() -> {
 				try (Socket accepted = listener.accept()) {
 					accepted.setSoTimeout(2000);
-					// A response that comes before its request has begun is an error.
+					// The client treats a response that precedes its request as an error.
 					accepted.getInputStream().read(new byte[1024]);
 					accepted.getOutputStream()
 						.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 10\r\n\r\none\n"
@@ -253,8 +253,8 @@
 	}
 
 	/**
-	 * Guards against a call that is reported as broken although it was answered: the
-	 * request channel is detached by the I/O thread while the caller flushes it.
+	 * Guards against a call that is reported as broken although its response arrived: the
+	 * I/O thread detaches the request channel while the caller flushes it.
 	 */
 	@Test
 	void answeredCallsAreNotReportedAsBroken() throws Exception {
