--- a/config/src/main/java/org/banyanstile/config/Endpoint.java
+++ b/config/src/main/java/org/banyanstile/config/Endpoint.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A runner that requests are routed to.
+ * A program that requests are routed to.
  *
  * @param name the name, unique in the fleet
  * @param dataCentre name of its data centre
@@ -12,7 +12,7 @@
  * @param kind engine or plain service
  * @param role what an engine performs, {@code null} for a plain service
  * @param serves model of an engine, or name of a plain service
- * @param slots most requests that it runs at the same time
+ * @param slots maximum number of concurrent requests
  * @param kvPieces KV memory of an engine in pieces, 0 for a plain service
  * @param checksFencing whether it rejects a control order with a stale fencing token
  * @param state whether it receives new work
@@ -109,7 +109,7 @@
 		}
 
 		/**
-		 * Sets the most requests that it runs at the same time.
+		 * Sets the maximum number of concurrent requests.
 		 * @param slots the number
 		 * @return this builder
 		 */
--- a/config/src/main/java/org/banyanstile/config/EndpointRole.java
+++ b/config/src/main/java/org/banyanstile/config/EndpointRole.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Part of a generation that an engine performs.
+ * Phases of a generation that an engine performs.
  *
  * @author banyanstile contributors
  */
--- a/config/src/main/java/org/banyanstile/config/EndpointState.java
+++ b/config/src/main/java/org/banyanstile/config/EndpointState.java
@@ -16,7 +16,7 @@
 	ACTIVE,
 
 	/**
-	 * Completes its work and receives no new work.
+	 * Completes its running requests and receives no new work.
 	 */
 	@JsonProperty("leaving")
 	LEAVING
--- a/config/src/main/java/org/banyanstile/config/FleetConfiguration.java
+++ b/config/src/main/java/org/banyanstile/config/FleetConfiguration.java
@@ -7,16 +7,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Configuration of a fleet, immutable. Its version is not a part of it; the table service
- * assigns it.
+ * Immutable configuration of a fleet. It does not contain its version, which the table
+ * service assigns.
  *
  * @param formatVersion version of the JSON format, {@link #FORMAT_VERSION}
  * @param deployment name of the deployment
  * @param regions regions with their data centres
- * @param endpoints runners
+ * @param endpoints engines and plain services
  * @param routes routes of the plain services
  * @param teams teams with their limits and keys
- * @param limits largest request
+ * @param limits size limits of a request
  * @author banyanstile contributors
  */
 public record FleetConfiguration(int formatVersion, String deployment, List<Region> regions, List<Endpoint> endpoints,
@@ -32,10 +32,10 @@
 	 * @param formatVersion version of the JSON format
 	 * @param deployment name of the deployment
 	 * @param regions regions with their data centres
-	 * @param endpoints runners
+	 * @param endpoints engines and plain services
 	 * @param routes routes of the plain services
 	 * @param teams teams with their limits and keys
-	 * @param limits largest request
+	 * @param limits size limits of a request
 	 */
 	public FleetConfiguration {
 		regions = List.copyOf(regions);
@@ -175,7 +175,7 @@
 		}
 
 		/**
-		 * Sets the largest request.
+		 * Sets the size limits of a request.
 		 * @param limits the limits
 		 * @return this builder
 		 */
--- a/config/src/main/java/org/banyanstile/config/IpPort.java
+++ b/config/src/main/java/org/banyanstile/config/IpPort.java
@@ -8,8 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Address of a listener as {@code ip:port}. Host names are not allowed, because nothing
- * of the system depends on a name service.
+ * Address of a listener as {@code ip:port}. Host names are not allowed, because the
+ * system does not depend on a name service.
  *
  * @author banyanstile contributors
  */
@@ -36,7 +36,7 @@
 			return Optional.empty();
 		}
 		try {
-			// The pattern admits literals only, so this does not ask a name service.
+			// The pattern matches IP literals only, so this never queries a name service.
 			InetAddress ip = InetAddress.getByName(matcher.group(1));
 			return Optional.of(new InetSocketAddress(ip, Integer.parseInt(matcher.group(2))));
 		}
--- a/config/src/main/java/org/banyanstile/config/KeyState.java
+++ b/config/src/main/java/org/banyanstile/config/KeyState.java
@@ -16,7 +16,7 @@
 	ACTIVE,
 
 	/**
-	 * Refused; its running streams end when the configuration is applied.
+	 * Rejected. Its running streams end when the configuration is applied.
 	 */
 	@JsonProperty("withdrawn")
 	WITHDRAWN
--- a/config/src/main/java/org/banyanstile/config/Limits.java
+++ b/config/src/main/java/org/banyanstile/config/Limits.java
@@ -1,7 +1,7 @@
 package org.banyanstile.config;
 
 /**
- * Largest request that the fleet accepts.
+ * Size limits of the requests that the fleet accepts.
  *
  * @param maxPromptTokens largest prompt in tokens
  * @param maxOutputTokens largest {@code max_tokens} of a request
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * Returns the most tokens that one request can reserve.
+	 * Returns the maximum number of tokens that one request can reserve.
 	 * @return prompt and output together
 	 */
 	public long largestRequestTokens() {
--- a/config/src/main/java/org/banyanstile/config/Route.java
+++ b/config/src/main/java/org/banyanstile/config/Route.java
@@ -6,14 +6,14 @@
  * @param service name of the service, as in {@link Endpoint#serves()}
  * @param method {@code GET} or {@code POST}
  * @param path path below the service, with a leading slash
- * @param idempotent whether a call may be repeated after an unknown outcome
+ * @param idempotent whether a call may be retried after an unknown outcome
  * @param open whether a call needs no key
  * @author banyanstile contributors
  */
 public record Route(String service, String method, String path, boolean idempotent, boolean open) {
 
 	/**
-	 * Returns a route whose calls may be repeated.
+	 * Returns a route whose calls may be retried.
 	 * @param service name of the service
 	 * @param method {@code GET} or {@code POST}
 	 * @param path path below the service
--- a/config/src/main/java/org/banyanstile/config/TeamKey.java
+++ b/config/src/main/java/org/banyanstile/config/TeamKey.java
@@ -1,7 +1,7 @@
 package org.banyanstile.config;
 
 /**
- * What the configuration holds of a key: a salted hash, never the key.
+ * Entry of a key in the configuration: a salted hash, never the key itself.
  *
  * @param id identifier, unique in the fleet, a part of the key itself
  * @param salt salt in hexadecimal
--- a/config/src/main/java/org/banyanstile/config/VmSettings.java
+++ b/config/src/main/java/org/banyanstile/config/VmSettings.java
@@ -22,8 +22,8 @@
  * @param operatorTokenHash SHA-256 of the operators' bearer token, in hexadecimal
  * @param vmSlots number of VM slots, the same on all VMs
  * @param workers number of worker threads for requests
- * @param shutdownWindowMillis how long a VM that shuts down goes on accepting requests,
- * or {@code null} for 10 s, the time for which callers may hold a list of VMs
+ * @param shutdownWindowMillis how long a VM that shuts down continues to accept requests,
+ * or {@code null} for 10 s, the time for which callers may cache a list of VMs
  * @author banyanstile contributors
  */
 public record VmSettings(String vm, String dataCentre, String callerAddress, String operatorAddress, String vmAddress,
@@ -31,9 +31,9 @@
 		int vmSlots, int workers, @JsonInclude(JsonInclude.Include.NON_NULL) @Nullable Integer shutdownWindowMillis) {
 
 	/**
-	 * Callers may hold a list of VMs for this long.
+	 * Longest time for which callers may cache a list of VMs.
 	 */
-	private static final Duration STANDARD_SHUTDOWN_WINDOW = Duration.ofSeconds(10);
+	private static final Duration DEFAULT_SHUTDOWN_WINDOW = Duration.ofSeconds(10);
 
 	/**
 	 * Copies the list.
@@ -49,7 +49,7 @@
 	 * @param operatorTokenHash SHA-256 of the operators' bearer token
 	 * @param vmSlots number of VM slots
 	 * @param workers number of worker threads
-	 * @param shutdownWindowMillis how long a VM that shuts down goes on accepting
+	 * @param shutdownWindowMillis how long a VM that shuts down continues to accept
 	 * requests
 	 */
 	@JsonCreator
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Creates settings with the standard shutdown window.
+	 * Creates settings with the default shutdown window.
 	 * @param vm name of the VM
 	 * @param dataCentre data centre in which it runs
 	 * @param callerAddress address for callers
@@ -80,12 +80,12 @@
 	}
 
 	/**
-	 * Returns how long a VM that shuts down goes on accepting requests.
+	 * Returns how long a VM that shuts down continues to accept requests.
 	 * @return the time, 10 s unless set
 	 */
 	public Duration shutdownWindow() {
 		Integer millis = this.shutdownWindowMillis;
-		return (millis != null) ? Duration.ofMillis(millis) : STANDARD_SHUTDOWN_WINDOW;
+		return (millis != null) ? Duration.ofMillis(millis) : DEFAULT_SHUTDOWN_WINDOW;
 	}
 
 	/**
--- a/config/src/main/java/org/banyanstile/config/api/ApiJson.java
+++ b/config/src/main/java/org/banyanstile/config/api/ApiJson.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Reads and writes the messages of the operator interface. A reader ignores unknown keys,
- * so that an operator binary can talk to a later daemon.
+ * Reads and writes the messages of the operator interface. Unknown keys are ignored, so
+ * that an operator binary works with a newer daemon.
  *
  * @author banyanstile contributors
  */
@@ -54,7 +54,7 @@
 	}
 
 	/**
-	 * Writes a message indented for people.
+	 * Writes a message indented for readability.
 	 * @param message the message
 	 * @return the JSON text
 	 */
--- a/config/src/main/java/org/banyanstile/config/api/BurnCause.java
+++ b/config/src/main/java/org/banyanstile/config/api/BurnCause.java
@@ -3,28 +3,28 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What uses up error budget. The budgets follow from the targets of the deployments: the
- * latency targets hold at the 95th percentile, refusals within rate stay under 0.1%, and
- * wasted prefill under 1%.
+ * Cause of error budget use. The budgets follow from the targets of the deployments: the
+ * latency targets hold at the 95th percentile, rejections within the rate stay under
+ * 0.1%, and wasted prefill under 1%.
  *
  * @author banyanstile contributors
  */
 public enum BurnCause {
 
 	/**
-	 * A request inside its team's rate was refused.
+	 * A request within its team's rate was rejected.
 	 */
 	@JsonProperty("refusedWithinRate")
 	REFUSED_WITHIN_RATE("refused within rate", 0.001),
 
 	/**
-	 * The first token came after its target.
+	 * The time to the first token exceeded its target.
 	 */
 	@JsonProperty("lateFirstToken")
 	LATE_FIRST_TOKEN("late first token", 0.05),
 
 	/**
-	 * The time between tokens was over its target.
+	 * The time between tokens exceeded its target.
 	 */
 	@JsonProperty("slowDecode")
 	SLOW_DECODE("slow decode", 0.05),
@@ -36,7 +36,7 @@
 	WASTED_PREFILL("wasted prefill", 0.01),
 
 	/**
-	 * An accepted request ended without its whole answer.
+	 * An accepted request ended without a complete response.
 	 */
 	@JsonProperty("lostAnswer")
 	LOST_ANSWER("lost answer", 0.0001);
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Returns the name for people.
+	 * Returns the display name.
 	 * @return the label
 	 */
 	public String label() {
--- a/config/src/main/java/org/banyanstile/config/api/BurnWindow.java
+++ b/config/src/main/java/org/banyanstile/config/api/BurnWindow.java
@@ -4,8 +4,8 @@
 
 /**
  * Window over which the use of error budget is shown. Each ends at the time of the
- * report. A high rate in the short windows is a sudden fault, one in the long windows a
- * lasting one.
+ * report. A high rate in the short windows indicates a sudden fault, one in the long
+ * windows a lasting fault.
  *
  * @author banyanstile contributors
  */
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Returns the name for people.
+	 * Returns the display name.
 	 * @return the label
 	 */
 	public String label() {
--- a/config/src/main/java/org/banyanstile/config/api/ChangeOutcome.java
+++ b/config/src/main/java/org/banyanstile/config/api/ChangeOutcome.java
@@ -10,19 +10,19 @@
 public enum ChangeOutcome {
 
 	/**
-	 * Durable and in force on each VM that serves.
+	 * Durable and applied on each VM that serves requests.
 	 */
 	@JsonProperty("accepted")
 	ACCEPTED,
 
 	/**
-	 * Durable, but not yet known to be in force on each VM.
+	 * Durable, but not yet known to be applied on each VM.
 	 */
 	@JsonProperty("stored")
 	STORED,
 
 	/**
-	 * Not stored, because another version than the named one was current.
+	 * Not stored, because the current version was not the one to be replaced.
 	 */
 	@JsonProperty("conflict")
 	CONFLICT,
@@ -40,7 +40,7 @@
 	UNAVAILABLE,
 
 	/**
-	 * May have been stored; read the version back to find out.
+	 * May have been stored. The caller must read the version back to find out.
 	 */
 	@JsonProperty("unknown")
 	UNKNOWN
--- a/config/src/main/java/org/banyanstile/config/api/ChangeResult.java
+++ b/config/src/main/java/org/banyanstile/config/api/ChangeResult.java
@@ -11,10 +11,10 @@
  *
  * @param result the outcome
  * @param version the new version, or the current version after a conflict
- * @param changes after a conflict: what the refused configuration would change in the
+ * @param changes after a conflict: what the rejected configuration would change in the
  * current one
  * @param problems what is invalid
- * @param message explanation for people, may be empty
+ * @param message explanation for the operator, may be empty
  * @author banyanstile contributors
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
@@ -25,9 +25,9 @@
 	 * Copies the lists.
 	 * @param result the outcome
 	 * @param version the new or current version
-	 * @param changes what the refused configuration would change
+	 * @param changes what the rejected configuration would change
 	 * @param problems what is invalid
-	 * @param message explanation for people
+	 * @param message explanation for the operator
 	 */
 	public ChangeResult {
 		changes = (changes != null) ? List.copyOf(changes) : List.of();
@@ -39,7 +39,7 @@
 	 * Returns a result without lists.
 	 * @param result the outcome
 	 * @param version the new or current version
-	 * @param message explanation for people
+	 * @param message explanation for the operator
 	 * @return the result
 	 */
 	public static ChangeResult of(ChangeOutcome result, long version, String message) {
@@ -47,14 +47,14 @@
 	}
 
 	/**
-	 * Returns the result of a lost race.
+	 * Returns the result of a conflict with another change.
 	 * @param version the current version
-	 * @param changes what the refused configuration would change in it
+	 * @param changes what the rejected configuration would change in it
 	 * @return the result
 	 */
 	public static ChangeResult conflict(long version, List<Change> changes) {
 		return new ChangeResult(ChangeOutcome.CONFLICT, version, changes, List.of(), "the current version is " + version
-				+ "; the changes show what the refused configuration would change in it");
+				+ "; the changes show what the rejected configuration would change in it");
 	}
 
 	/**
--- a/config/src/main/java/org/banyanstile/config/api/OperatorError.java
+++ b/config/src/main/java/org/banyanstile/config/api/OperatorError.java
@@ -5,7 +5,7 @@
  *
  * @param type one of {@code unauthorized}, {@code invalid_request}, {@code not_found},
  * {@code unavailable}
- * @param message explanation for people
+ * @param message explanation for the operator
  * @author banyanstile contributors
  */
 public record OperatorError(String type, String message) {
--- a/config/src/main/java/org/banyanstile/config/api/RolloutState.java
+++ b/config/src/main/java/org/banyanstile/config/api/RolloutState.java
@@ -16,13 +16,13 @@
 	NONE,
 
 	/**
-	 * Durable, but some VM may still serve an earlier version.
+	 * Durable, but a VM may still use an earlier version.
 	 */
 	@JsonProperty("stored")
 	STORED,
 
 	/**
-	 * In force on each VM that serves; never reverted.
+	 * Applied on each VM that serves requests; never reverted.
 	 */
 	@JsonProperty("accepted")
 	ACCEPTED
--- a/config/src/main/java/org/banyanstile/config/api/VmStatus.java
+++ b/config/src/main/java/org/banyanstile/config/api/VmStatus.java
@@ -9,8 +9,8 @@
  * @param dataCentre its data centre
  * @param state {@code starting}, {@code live} or {@code leaving}
  * @param serving whether it accepts requests
- * @param reason why it does not, empty if it does
- * @param configVersion version of the configuration in force
+ * @param reason why it does not accept requests, empty if it does
+ * @param configVersion version of the configuration in use
  * @param storeAgeMillis time since its last contact with the table service
  * @param slot its VM slot, -1 if it holds none
  * @param epoch epoch of the slot
@@ -31,7 +31,7 @@
 	 * @param state its state
 	 * @param serving whether it accepts requests
 	 * @param reason why it does not
-	 * @param configVersion version of the configuration in force
+	 * @param configVersion version of the configuration in use
 	 * @param storeAgeMillis time since its last contact with the table service
 	 * @param slot its VM slot
 	 * @param epoch epoch of the slot
--- a/config/src/main/java/org/banyanstile/config/diff/ConfigurationDifference.java
+++ b/config/src/main/java/org/banyanstile/config/diff/ConfigurationDifference.java
@@ -19,7 +19,7 @@
 
 /**
  * Computes the changes between two versions of the configuration. Members of lists are
- * paired by their identity, so a change of order is no change. Salts and hashes are
+ * matched by their identity, so a different order is not a change. Salts and hashes are
  * shortened.
  *
  * @author banyanstile contributors
@@ -50,7 +50,7 @@
 	 * Returns the changes between two versions.
 	 * @param before the earlier version
 	 * @param after the later version
-	 * @return the changes, empty if the versions are equal but for the order of lists
+	 * @return the changes, empty if the versions differ at most in the order of lists
 	 */
 	public static List<Change> between(FleetConfiguration before, FleetConfiguration after) {
 		ConfigurationDifference difference = new ConfigurationDifference();
--- a/config/src/main/java/org/banyanstile/config/json/Addresses.java
+++ b/config/src/main/java/org/banyanstile/config/json/Addresses.java
@@ -7,7 +7,7 @@
 import org.banyanstile.config.VmSettings;
 
 /**
- * Checks of the addresses in the settings of a VM.
+ * Validates the addresses in the settings of a VM.
  *
  * @author banyanstile contributors
  */
--- a/config/src/main/java/org/banyanstile/config/json/ConfigurationChecks.java
+++ b/config/src/main/java/org/banyanstile/config/json/ConfigurationChecks.java
@@ -17,8 +17,8 @@
 import org.banyanstile.config.Team;
 
 /**
- * Checks of a configuration that a schema cannot express: names that must be unique, and
- * references between parts.
+ * Validation rules that a schema cannot express: names that must be unique, and
+ * references between parts of the configuration.
  *
  * @author banyanstile contributors
  */
--- a/config/src/main/java/org/banyanstile/config/json/ConfigurationJson.java
+++ b/config/src/main/java/org/banyanstile/config/json/ConfigurationJson.java
@@ -15,7 +15,7 @@
 import org.banyanstile.config.VmSettings;
 
 /**
- * Reads and writes the JSON forms of the configuration and the settings.
+ * Reads and writes the configuration and the settings as JSON.
  *
  * @author banyanstile contributors
  */
@@ -69,7 +69,7 @@
 	}
 
 	/**
-	 * Writes a configuration indented for people.
+	 * Writes a configuration indented for readability.
 	 * @param configuration the configuration
 	 * @return the JSON text
 	 */
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Writes the settings of a VM indented for people.
+	 * Writes the settings of a VM indented for readability.
 	 * @param settings the settings
 	 * @return the JSON text
 	 */
--- a/config/src/main/java/org/banyanstile/config/json/ConfigurationWarnings.java
+++ b/config/src/main/java/org/banyanstile/config/json/ConfigurationWarnings.java
@@ -12,7 +12,7 @@
 import org.banyanstile.config.Team;
 
 /**
- * Parts of a valid configuration that are probably not intended.
+ * Finds parts of a valid configuration that are probably unintended.
  *
  * @author banyanstile contributors
  */
@@ -42,7 +42,7 @@
 			String service = configuration.routes().get(i).service();
 			if (!services.contains(service)) {
 				warnings.add(new Problem(file, "$.routes[" + i + "].service", Values.quote(service),
-						"no endpoint serves it, so its calls are refused"));
+						"no endpoint serves it, so its calls are rejected"));
 			}
 		}
 		return warnings;
@@ -52,7 +52,7 @@
 		if (team.burstTokens() < largest) {
 			warnings.add(new Problem(file, path + ".burstTokens", String.valueOf(team.burstTokens()),
 					"should be at least maxPromptTokens + maxOutputTokens = " + largest
-							+ "; the team's larger requests are always refused"));
+							+ "; the team's larger requests are always rejected"));
 		}
 		if (team.keys().stream().noneMatch((key) -> key.state() == KeyState.ACTIVE)) {
 			warnings.add(new Problem(file, path + ".keys", "no active key", "only open routes serve the team"));
--- a/config/src/main/java/org/banyanstile/config/json/Problem.java
+++ b/config/src/main/java/org/banyanstile/config/json/Problem.java
@@ -1,7 +1,7 @@
 package org.banyanstile.config.json;
 
 /**
- * One thing that is wrong in a file.
+ * One validation error or warning for a file.
  *
  * @param file name of the file or other source
  * @param path JSON path of the value, for example {@code $.teams[0].weight}
--- a/config/src/main/java/org/banyanstile/config/json/Schema.java
+++ b/config/src/main/java/org/banyanstile/config/json/Schema.java
@@ -18,8 +18,8 @@
 import com.networknt.schema.ValidationMessage;
 
 /**
- * A JSON schema from the resources. Its {@code description} fields say what is allowed,
- * and each problem quotes them.
+ * A JSON schema from the resources. Its {@code description} fields state what is allowed
+ * and are quoted in each problem.
  *
  * @author banyanstile contributors
  */
--- a/config/src/main/java/org/banyanstile/config/json/Values.java
+++ b/config/src/main/java/org/banyanstile/config/json/Values.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Prints values in messages: shortened, and without secrets.
+ * Formats values for messages: shortened, and without secrets.
  *
  * @author banyanstile contributors
  */
--- a/config/src/main/java/org/banyanstile/config/json/package-info.java
+++ b/config/src/main/java/org/banyanstile/config/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reading, checking and writing of the JSON forms.
+ * Reading, validation and writing of the JSON documents.
  */
 @NullMarked
 package org.banyanstile.config.json;
--- a/config/src/main/java/org/banyanstile/config/key/AuthenticatedKey.java
+++ b/config/src/main/java/org/banyanstile/config/key/AuthenticatedKey.java
@@ -7,7 +7,7 @@
  *
  * @param team the team it belongs to, as of the version that accepted it
  * @param keyId identifier of the key
- * @param keyHash hash of the key, so that a new key of the same id is not taken for it
+ * @param keyHash hash of the key, which distinguishes it from a new key with the same id
  * @author banyanstile contributors
  */
 public record AuthenticatedKey(Team team, String keyId, String keyHash) {
--- a/config/src/main/java/org/banyanstile/config/key/KeyGenerator.java
+++ b/config/src/main/java/org/banyanstile/config/key/KeyGenerator.java
@@ -6,7 +6,8 @@
 import org.banyanstile.config.TeamKey;
 
 /**
- * Creates keys. The secret is shown once, to the team; the configuration holds its hash.
+ * Creates keys. The secret is shown once, to the team; the configuration contains its
+ * hash.
  *
  * @author banyanstile contributors
  */
@@ -23,7 +24,7 @@
 	}
 
 	/**
-	 * Returns a generator over the system's secure random numbers.
+	 * Returns a generator that uses the system's secure random number generator.
 	 * @return the generator
 	 */
 	public static KeyGenerator create() {
@@ -43,9 +44,9 @@
 	}
 
 	/**
-	 * Returns what the configuration holds of a key, with a new salt.
+	 * Creates the configuration entry of a key, with a new salt.
 	 * @param key the key
-	 * @return the active key of the configuration
+	 * @return the entry, with the key active
 	 */
 	public TeamKey entry(PresentedKey key) {
 		String salt = hex(SALT_BYTES);
--- a/config/src/main/java/org/banyanstile/config/key/KeyHash.java
+++ b/config/src/main/java/org/banyanstile/config/key/KeyHash.java
@@ -33,11 +33,10 @@
 	}
 
 	/**
-	 * Compares a secret with the hash of a key, in a time that does not depend on where
-	 * they differ.
+	 * Compares a secret with the hash of a key in constant time.
 	 * @param key the key of the configuration
 	 * @param secret the secret part of the presented key
-	 * @return whether the secret belongs to the key
+	 * @return whether they match
 	 */
 	public static boolean matches(TeamKey key, String secret) {
 		return MessageDigest.isEqual(compute(key.salt(), secret), HexFormat.of().parseHex(key.hash()));
--- a/config/src/main/java/org/banyanstile/config/key/KeyRing.java
+++ b/config/src/main/java/org/banyanstile/config/key/KeyRing.java
@@ -10,17 +10,17 @@
 import org.banyanstile.config.TeamKey;
 
 /**
- * Index of the keys of a configuration, immutable.
+ * Immutable index of the keys of a configuration.
  *
  * @author banyanstile contributors
  */
 public final class KeyRing {
 
 	/**
-	 * Compared with when the key id is unknown, so that the time of a check does not tell
-	 * which ids exist.
+	 * Used for the comparison if the key id is unknown, so that the response time does
+	 * not reveal which ids exist.
 	 */
-	private static final TeamKey NO_KEY = TeamKey.active("none", "00".repeat(16), "00".repeat(32));
+	private static final TeamKey DUMMY_KEY = TeamKey.active("none", "00".repeat(16), "00".repeat(32));
 
 	private final Map<String, Entry> entries;
 
@@ -51,7 +51,8 @@
 	}
 
 	/**
-	 * Returns whether a key is still accepted, for running streams after a new version.
+	 * Returns whether a key is still accepted. Checked for running streams when a new
+	 * version is applied.
 	 * @param key the key as it was authenticated under an earlier version
 	 * @return whether it exists, belongs to the same team and is active
 	 */
@@ -63,7 +64,7 @@
 
 	private Optional<AuthenticatedKey> authenticate(PresentedKey presented) {
 		Entry entry = this.entries.get(presented.id());
-		boolean matches = KeyHash.matches((entry != null) ? entry.key() : NO_KEY, presented.secret());
+		boolean matches = KeyHash.matches((entry != null) ? entry.key() : DUMMY_KEY, presented.secret());
 		if (entry == null || !matches || entry.key().state() != KeyState.ACTIVE) {
 			return Optional.empty();
 		}
--- a/config/src/main/java/org/banyanstile/config/key/OperatorToken.java
+++ b/config/src/main/java/org/banyanstile/config/key/OperatorToken.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * Bearer token of operators. The settings hold its SHA-256; the token is random and long,
- * so it needs no salt.
+ * Bearer token of operators. The settings contain its SHA-256. The token is long and
+ * random, so it needs no salt.
  *
  * @author banyanstile contributors
  */
@@ -17,7 +17,7 @@
 	}
 
 	/**
-	 * Computes the hash that the settings hold.
+	 * Computes the hash for the settings.
 	 * @param token the token
 	 * @return the hash in hexadecimal
 	 */
@@ -26,11 +26,10 @@
 	}
 
 	/**
-	 * Compares a token with the hash of the settings, in a time that does not depend on
-	 * where they differ.
+	 * Compares a token with the hash of the settings in constant time.
 	 * @param token the token that the operator sent
 	 * @param hash the hash of the settings
-	 * @return whether they belong together
+	 * @return whether they match
 	 */
 	public static boolean matches(String token, String hash) {
 		return MessageDigest.isEqual(digest(token), HexFormat.of().parseHex(hash));
--- a/config/src/main/java/org/banyanstile/config/key/PresentedKey.java
+++ b/config/src/main/java/org/banyanstile/config/key/PresentedKey.java
@@ -14,8 +14,8 @@
 public record PresentedKey(String id, String secret) {
 
 	/**
-	 * The identifier contains no underscore, so the text has only one reading. The bounds
-	 * keep the cost of hashing a forged key small.
+	 * The identifier contains no underscore, so the text is unambiguous. The length
+	 * limits bound the cost of hashing a forged key.
 	 */
 	private static final Pattern FORMAT = Pattern.compile("bk_([A-Za-z0-9][A-Za-z0-9.-]{0,63})_([A-Za-z0-9]{16,128})");
 
--- a/config/src/test/java/org/banyanstile/config/json/ValidationTests.java
+++ b/config/src/test/java/org/banyanstile/config/json/ValidationTests.java
@@ -22,8 +22,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests for the checks of {@link ConfigurationJson}: each problem names file, path, value
- * and what is allowed.
+ * Tests for the checks of {@link ConfigurationJson}: each problem contains the file, the
+ * path, the value and what is allowed.
  *
  * @author banyanstile contributors
  */
--- a/config/src/test/java/org/banyanstile/config/key/KeyRingTests.java
+++ b/config/src/test/java/org/banyanstile/config/key/KeyRingTests.java
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Guards against a stream that survives the move of its key id to another team.
+	 * Guards against a stream that continues after its key id is moved to another team.
 	 */
 	@Test
 	void aKeyIdThatMovedToAnotherTeamIsNotActive() throws Exception {
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Test case 1 of RFC 4231, so that hashes made by another program agree.
+	 * Test case 1 of RFC 4231. Hashes created by other programs must match.
 	 */
 	@Test
 	void hashIsHmacSha256() {
