--- a/tools/src/main/java/org/banyanstile/tools/BurnCommand.java
+++ b/tools/src/main/java/org/banyanstile/tools/BurnCommand.java
@@ -13,8 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * {@code burn}: adds up the error-budget counters of several VMs and reports what uses up
- * the budget.
+ * {@code burn}: adds up the error-budget counters of several VMs and reports the causes
+ * of budget use.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/Pause.java
+++ b/tools/src/main/java/org/banyanstile/tools/Clock.java
@@ -3,30 +3,30 @@
 import java.time.Duration;
 
 /**
- * Time as a command sees it, replaced in tests.
+ * Clock of a command, replaced in tests.
  *
  * @author banyanstile contributors
  */
-interface Pause {
+interface Clock {
 
 	/**
-	 * Returns the time since an arbitrary origin.
+	 * Returns the time since an arbitrary origin, as {@link System#nanoTime()}.
 	 * @return the time in nanoseconds
 	 */
 	long nanos();
 
 	/**
-	 * Waits.
-	 * @param time how long
+	 * Sleeps. Returns early if the thread is interrupted.
+	 * @param time the time
 	 */
 	void sleep(Duration time);
 
 	/**
-	 * Returns the time of this process.
-	 * @return the time
+	 * Returns the clock of the system.
+	 * @return the clock
 	 */
-	static Pause system() {
-		return new Pause() {
+	static Clock system() {
+		return new Clock() {
 
 			@Override
 			public long nanos() {
--- a/tools/src/main/java/org/banyanstile/tools/Command.java
+++ b/tools/src/main/java/org/banyanstile/tools/Command.java
@@ -1,7 +1,7 @@
 package org.banyanstile.tools;
 
 /**
- * A command of the binary. Its options are fields that JCommander fills.
+ * A command of the binary. JCommander sets the fields of its options.
  *
  * @author banyanstile contributors
  */
@@ -9,7 +9,7 @@
 
 	/**
 	 * Executes the command.
-	 * @param console where it prints
+	 * @param console input and output
 	 * @return the exit code
 	 * @throws CommandException if it failed
 	 */
--- a/tools/src/main/java/org/banyanstile/tools/CommandGroup.java
+++ b/tools/src/main/java/org/banyanstile/tools/CommandGroup.java
@@ -3,7 +3,7 @@
 import com.beust.jcommander.Parameters;
 
 /**
- * First word of a command of two words.
+ * First word of a two-word command.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/CommonOptions.java
+++ b/tools/src/main/java/org/banyanstile/tools/CommonOptions.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.ParameterException;
 
 /**
- * Options of each command.
+ * Options that all commands share.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/ConfigApplyCommand.java
+++ b/tools/src/main/java/org/banyanstile/tools/ConfigApplyCommand.java
@@ -48,7 +48,7 @@
 			.forEach((warning) -> console.err().println("warning: " + warning));
 		try (HttpOperatorApi api = this.vm.connect(console)) {
 			ChangeResult result = ConfigurationChange
-				.create(api, Pause.system(), Duration.ofSeconds(this.timeoutSeconds))
+				.create(api, Clock.system(), Duration.ofSeconds(this.timeoutSeconds))
 				.apply(this.replaces, configuration);
 			console.print(result, text(result));
 			return switch (result.result()) {
--- a/tools/src/main/java/org/banyanstile/tools/ConfigurationChange.java
+++ b/tools/src/main/java/org/banyanstile/tools/ConfigurationChange.java
@@ -12,15 +12,15 @@
 import org.banyanstile.config.json.ConfigurationJson;
 
 /**
- * Replaces the configuration once. After a lost reply it reads the new version back, and
- * sends the request again only when the old version is still the current one; both
- * requests name the version they replace, so at most one can take effect.
+ * Replaces the configuration once. After a lost reply it reads the new version back and
+ * resends the request only if the old version is still the current one. Both requests
+ * name the version that they replace, so at most one can take effect.
  *
  * @author banyanstile contributors
  */
 final class ConfigurationChange {
 
-	private static final Duration POLL = Duration.ofMillis(250);
+	private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
 	private static final String CONFIG = "/operator/v1/config";
 
@@ -32,33 +32,33 @@
 
 	private final OperatorApi api;
 
-	private final Pause pause;
+	private final Clock clock;
 
 	private final Duration timeout;
 
-	private ConfigurationChange(OperatorApi api, Pause pause, Duration timeout) {
+	private ConfigurationChange(OperatorApi api, Clock clock, Duration timeout) {
 		this.api = api;
-		this.pause = pause;
+		this.clock = clock;
 		this.timeout = timeout;
 	}
 
-	static ConfigurationChange create(OperatorApi api, Pause pause, Duration timeout) {
-		return new ConfigurationChange(api, pause, timeout);
+	static ConfigurationChange create(OperatorApi api, Clock clock, Duration timeout) {
+		return new ConfigurationChange(api, clock, timeout);
 	}
 
 	/**
 	 * Replaces the configuration and waits until the new version is accepted.
-	 * @param replaces version that it replaces
+	 * @param replaces version to replace
 	 * @param configuration the new configuration
 	 * @return the outcome
 	 * @throws NotReachableException if no VM accepted a connection
 	 * @throws RefusedException if the daemon refused the request
 	 */
 	ChangeResult apply(long replaces, FleetConfiguration configuration) throws NotReachableException, RefusedException {
-		long deadline = this.pause.nanos() + this.timeout.toNanos();
+		long deadline = this.clock.nanos() + this.timeout.toNanos();
 		ChangeResult result = put(replaces, configuration);
-		while (result.result() == ChangeOutcome.UNKNOWN && this.pause.nanos() - deadline < 0) {
-			this.pause.sleep(POLL);
+		while (result.result() == ChangeOutcome.UNKNOWN && this.clock.nanos() - deadline < 0) {
+			this.clock.sleep(POLL_INTERVAL);
 			result = readBack(replaces, configuration, result);
 		}
 		return (result.result() == ChangeOutcome.STORED) ? awaitAcceptance(result, deadline) : result;
@@ -90,7 +90,7 @@
 		if (reply.status() <= LAST_CLIENT_ERROR) {
 			throw new RefusedException(reply.error());
 		}
-		// A server error without an outcome does not tell whether the write was sent.
+		// A server error without an outcome does not show whether the write was sent.
 		return ChangeResult.of(ChangeOutcome.UNKNOWN, replaces + 1, reply.error());
 	}
 
@@ -127,7 +127,7 @@
 
 	private ChangeResult awaitAcceptance(ChangeResult stored, long deadline) throws RefusedException {
 		String last = "";
-		while (this.pause.nanos() - deadline < 0) {
+		while (this.clock.nanos() - deadline < 0) {
 			try {
 				RolloutStatus status = this.api.get(CONFIG + "/status").message(RolloutStatus.class);
 				if (status.version() >= stored.version() && status.state() == RolloutState.ACCEPTED) {
@@ -138,7 +138,7 @@
 			catch (NotReachableException ex) {
 				last = String.valueOf(ex.getMessage());
 			}
-			this.pause.sleep(POLL);
+			this.clock.sleep(POLL_INTERVAL);
 		}
 		return ChangeResult.of(ChangeOutcome.STORED, stored.version(),
 				"not yet accepted, check again with 'config status': " + last);
--- a/tools/src/main/java/org/banyanstile/tools/Console.java
+++ b/tools/src/main/java/org/banyanstile/tools/Console.java
@@ -6,7 +6,7 @@
 import org.banyanstile.config.api.ApiJson;
 
 /**
- * Where a command reads and prints.
+ * Input and output of a command.
  *
  * @param in standard input
  * @param out standard output, for results
@@ -18,8 +18,8 @@
 
 	/**
 	 * Prints a result.
-	 * @param value the result, printed as JSON if that was asked for
-	 * @param text the result for people
+	 * @param value the result, printed if JSON output was requested
+	 * @param text the result as text, printed otherwise
 	 */
 	void print(Object value, String text) {
 		this.out.println(this.json ? ApiJson.writeIndented(value) : text);
--- a/tools/src/main/java/org/banyanstile/tools/ExitCode.java
+++ b/tools/src/main/java/org/banyanstile/tools/ExitCode.java
@@ -8,12 +8,12 @@
 public enum ExitCode {
 
 	/**
-	 * The command did what was asked.
+	 * The command succeeded.
 	 */
 	DONE(0),
 
 	/**
-	 * The input is invalid, or the daemon refused or found a conflict.
+	 * The input is invalid, or the daemon rejected the request or reported a conflict.
 	 */
 	REFUSED(1),
 
@@ -23,12 +23,12 @@
 	USAGE(2),
 
 	/**
-	 * No VM answered.
+	 * No VM responded.
 	 */
 	NOT_REACHABLE(3),
 
 	/**
-	 * The configuration is stored, but not yet known to be in force on each VM.
+	 * The configuration is stored, but not yet known to be applied on each VM.
 	 */
 	NOT_YET_ACCEPTED(4);
 
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Returns the number.
+	 * Returns the numeric code.
 	 * @return the exit code of the process
 	 */
 	public int code() {
--- a/tools/src/main/java/org/banyanstile/tools/Files.java
+++ b/tools/src/main/java/org/banyanstile/tools/Files.java
@@ -11,7 +11,7 @@
 import org.banyanstile.config.json.Problem;
 
 /**
- * Reads files that the command line names; {@code -} is standard input.
+ * Reads and writes the files named on the command line; {@code -} is standard input.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/HttpOperatorApi.java
+++ b/tools/src/main/java/org/banyanstile/tools/HttpOperatorApi.java
@@ -25,7 +25,8 @@
 	private static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
 
 	/**
-	 * The daemon itself resolves lost replies of the table service before it answers.
+	 * Longer than the read timeout, because the daemon resolves lost replies of the table
+	 * service before it responds.
 	 */
 	private static final Duration PUT_TIMEOUT = Duration.ofSeconds(20);
 
@@ -70,7 +71,7 @@
 	 * @param address address of the VM
 	 * @param path path with query
 	 * @return the reply
-	 * @throws NotReachableException if it did not answer
+	 * @throws NotReachableException if it did not respond
 	 */
 	OperatorReply getFrom(String address, String path) throws NotReachableException {
 		try {
--- a/tools/src/main/java/org/banyanstile/tools/KeyCreateCommand.java
+++ b/tools/src/main/java/org/banyanstile/tools/KeyCreateCommand.java
@@ -8,7 +8,7 @@
 import org.banyanstile.config.key.PresentedKey;
 
 /**
- * {@code key create}: creates a key. The key is printed only here.
+ * {@code key create}: creates a key. The key cannot be printed again later.
  *
  * @author banyanstile contributors
  */
@@ -37,7 +37,7 @@
 	 * Result as JSON.
 	 *
 	 * @param key the key
-	 * @param entry what the configuration holds of it
+	 * @param entry its entry in the configuration
 	 * @author banyanstile contributors
 	 */
 	record Result(String key, TeamKey entry) {
--- a/tools/src/main/java/org/banyanstile/tools/KeyHashCommand.java
+++ b/tools/src/main/java/org/banyanstile/tools/KeyHashCommand.java
@@ -10,8 +10,8 @@
 import org.banyanstile.config.key.PresentedKey;
 
 /**
- * {@code key hash}: makes the entry for the configuration from an existing key. The key
- * is read from standard input, because arguments are visible to each user of the machine.
+ * {@code key hash}: creates the configuration entry for an existing key. The key is read
+ * from standard input, because arguments are visible to each user of the machine.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/NotReachableException.java
+++ b/tools/src/main/java/org/banyanstile/tools/NotReachableException.java
@@ -1,7 +1,7 @@
 package org.banyanstile.tools;
 
 /**
- * No VM answered, and nothing was changed.
+ * No VM responded, and nothing was changed.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/OperatorApi.java
+++ b/tools/src/main/java/org/banyanstile/tools/OperatorApi.java
@@ -8,16 +8,16 @@
 interface OperatorApi {
 
 	/**
-	 * Reads from the first VM that answers without a server error.
+	 * Reads from the first VM that responds without a server error.
 	 * @param path path with query
-	 * @return the reply, a server error only if no VM has a better one
-	 * @throws NotReachableException if no VM answered
+	 * @return the reply, a server error only if no VM sent another reply
+	 * @throws NotReachableException if no VM responded
 	 */
 	OperatorReply get(String path) throws NotReachableException;
 
 	/**
-	 * Asks for a new configuration, at the first VM that accepts a connection.
-	 * @param replaces version that it replaces
+	 * Requests a new configuration from the first VM that accepts a connection.
+	 * @param replaces version to replace
 	 * @param json the configuration
 	 * @return the reply
 	 * @throws NotReachableException if no VM accepted a connection, so nothing was sent
--- a/tools/src/main/java/org/banyanstile/tools/OperatorReply.java
+++ b/tools/src/main/java/org/banyanstile/tools/OperatorReply.java
@@ -21,7 +21,7 @@
 	 * @param type type of the message
 	 * @param <T> type of the message
 	 * @return the message
-	 * @throws RefusedException if the status is another, or the body is no such message
+	 * @throws RefusedException if the status differs, or the body is not such a message
 	 */
 	<T> T message(Class<T> type) throws RefusedException {
 		if (this.status != OK) {
@@ -35,14 +35,15 @@
 	 * @param type type of the message
 	 * @param <T> type of the message
 	 * @return the message
-	 * @throws RefusedException if the body is no such message
+	 * @throws RefusedException if the body is not such a message
 	 */
 	<T> T read(Class<T> type) throws RefusedException {
 		try {
 			return ApiJson.read(this.body, type);
 		}
 		catch (ApiFormatException ex) {
-			throw new RefusedException(this.address + " answered " + this.status + " with " + ex.getMessage());
+			throw new RefusedException(
+					this.address + " sent an unexpected reply with status " + this.status + ": " + ex.getMessage());
 		}
 	}
 
--- a/tools/src/main/java/org/banyanstile/tools/RefusedException.java
+++ b/tools/src/main/java/org/banyanstile/tools/RefusedException.java
@@ -1,7 +1,7 @@
 package org.banyanstile.tools;
 
 /**
- * The input is invalid, or the daemon refused the request.
+ * The input is invalid, or the daemon rejected the request.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/TraceCommand.java
+++ b/tools/src/main/java/org/banyanstile/tools/TraceCommand.java
@@ -14,11 +14,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * {@code trace}: prints what all VMs logged on one request, in the order of time.
+ * {@code trace}: prints the log lines of all VMs about one request, ordered by time.
  *
  * @author banyanstile contributors
  */
-@Parameters(commandDescription = "print what log files say of a request, in order")
+@Parameters(commandDescription = "print the log lines about a request, ordered by time")
 final class TraceCommand extends Command {
 
 	private final ObjectMapper mapper = new ObjectMapper();
@@ -38,14 +38,14 @@
 		}
 		if (lines.isEmpty()) {
 			throw new RefusedException(
-					"no line on request " + id + "; lines beyond the budget of a second are left out");
+					"no log line about request " + id + "; lines beyond the limit per second are not logged");
 		}
 		lines.sort(Comparator.comparing(Line::time));
 		console.print(lines, Files.lines(lines));
 		return ExitCode.DONE;
 	}
 
-	// A collector may have put the name of the VM before the JSON object.
+	// A log collector may have written the name of the VM before the JSON object.
 	private void add(List<Line> lines, String id, String line) {
 		int brace = line.indexOf('{');
 		if (brace < 0 || !line.contains(id)) {
@@ -60,7 +60,7 @@
 			}
 		}
 		catch (JsonProcessingException ex) {
-			// Other programs may write to the same file; their lines are no events.
+			// Lines of other programs in the same file are not events.
 		}
 	}
 
@@ -77,12 +77,12 @@
 	}
 
 	/**
-	 * What a VM logged on the request.
+	 * Log line of a VM about the request.
 	 *
-	 * @param time time of day of the VM
-	 * @param source what stands before the event in the file
-	 * @param event what was decided
-	 * @param fields inputs and outcome
+	 * @param time wall-clock time of the VM
+	 * @param source text before the JSON object in the file
+	 * @param event name of the event
+	 * @param fields other fields: inputs and outcome of the decision
 	 * @author banyanstile contributors
 	 */
 	private record Line(String time, String source, String event, Map<String, String> fields) {
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnDimension.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnDimension.java
@@ -4,7 +4,7 @@
 import org.banyanstile.config.api.BurnSeries;
 
 /**
- * By what the counts are grouped.
+ * Criterion by which the counts are grouped.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnGroup.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnGroup.java
@@ -4,17 +4,19 @@
 import java.util.List;
 
 /**
- * One group in all windows.
+ * Counts of one group in all windows.
  *
- * @param dimension by what the counts are grouped
+ * @param dimension criterion by which the counts are grouped
  * @param name name of the group
- * @param lines the group in each window in which it had requests, the shortest first
+ * @param lines one line for each window in which it had requests, the shortest window
+ * first
  * @author banyanstile contributors
  */
 record BurnGroup(BurnDimension dimension, String name, List<BurnLine> lines) {
 
 	/**
-	 * Returns the window with the highest burn rate, the shortest of equal ones.
+	 * Returns the window with the highest burn rate, or the shortest of several with that
+	 * rate.
 	 * @return the group in that window
 	 */
 	BurnLine worst() {
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnLine.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnLine.java
@@ -10,11 +10,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Use of error budget in one group over one window. A burn rate of 1 uses the budget up
- * exactly.
+ * Use of error budget in one group over one window. A burn rate of 1 uses exactly the
+ * whole budget.
  *
  * @param window the window
- * @param dimension by what the counts are grouped
+ * @param dimension criterion by which the counts are grouped
  * @param name name of the group
  * @param requests requests that ended in the window
  * @param causes how many of them used up error budget, by cause
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnPage.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnPage.java
@@ -8,15 +8,15 @@
 import org.banyanstile.config.api.BurnWindow;
 
 /**
- * HTML form of the report, one file without references to others.
+ * Report as a self-contained HTML page.
  *
  * @author banyanstile contributors
  */
 public final class BurnPage {
 
 	/**
-	 * Groups per table. A fleet can have thousands of teams; the JSON output has them
-	 * all.
+	 * Groups per table. A fleet can have thousands of teams; the JSON output contains all
+	 * of them.
 	 */
 	private static final int MAX_GROUPS = 50;
 
@@ -43,7 +43,7 @@
 	/**
 	 * Renders the report.
 	 * @param summary the counts
-	 * @param missing why each VM that did not answer is not included
+	 * @param missing error message for each VM that did not respond
 	 * @return the HTML text
 	 */
 	public static String render(BurnSummary summary, List<String> missing) {
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnPlot.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnPlot.java
@@ -21,16 +21,16 @@
 	private static final int LABEL_HEIGHT = 14;
 
 	/**
-	 * Least value at the upper edge, so that small rates do not look high.
+	 * Minimum burn rate at the top of the plot, so that small rates do not look high.
 	 */
-	private static final double LEAST_TOP = 1.5;
+	private static final double MIN_TOP_RATE = 1.5;
 
 	private BurnPlot() {
 	}
 
 	static String render(BurnGroup group) {
 		double highest = group.lines().stream().mapToDouble(BurnPlot::total).max().orElse(0);
-		double top = Math.max(LEAST_TOP, highest);
+		double top = Math.max(MIN_TOP_RATE, highest);
 		int width = group.lines().size() * (BAR_WIDTH + GAP) + GAP;
 		StringBuilder svg = new StringBuilder(String.format(Locale.ROOT,
 				"<svg viewBox=\"0 0 %d %d\" width=\"%d\" height=\"%d\" role=\"img\">"
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnStyle.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnStyle.java
@@ -5,7 +5,7 @@
 import org.banyanstile.config.api.BurnCause;
 
 /**
- * Colours of the causes, which remain distinct with the common kinds of colour blindness.
+ * Colours of the causes, distinguishable with the common kinds of colour blindness.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnSummary.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnSummary.java
@@ -13,7 +13,7 @@
 import org.banyanstile.config.api.BurnWindow;
 
 /**
- * Counts of several VMs added up, by window, dimension and name.
+ * Sums of the counts of several VMs, by window, dimension and name.
  *
  * @author banyanstile contributors
  */
@@ -32,7 +32,8 @@
 	}
 
 	/**
-	 * Adds up the reports of several VMs. A VM that is reported twice counts once.
+	 * Adds up the reports of several VMs. If a VM is reported twice, only its last report
+	 * counts.
 	 * @param reports the reports
 	 * @return the sum
 	 */
@@ -83,8 +84,8 @@
 	}
 
 	/**
-	 * Returns all groups in all windows, within a dimension the group with the highest
-	 * burn rate first.
+	 * Returns all groups in all windows. Within a dimension, the group with the highest
+	 * burn rate comes first.
 	 * @return the groups
 	 */
 	public List<BurnLine> lines() {
--- a/tools/src/main/java/org/banyanstile/tools/burn/BurnTable.java
+++ b/tools/src/main/java/org/banyanstile/tools/burn/BurnTable.java
@@ -7,7 +7,7 @@
 import org.banyanstile.config.api.BurnWindow;
 
 /**
- * Text form of the report.
+ * Report as a text table.
  *
  * @author banyanstile contributors
  */
--- a/tools/src/test/java/org/banyanstile/tools/ConfigurationChangeTests.java
+++ b/tools/src/test/java/org/banyanstile/tools/ConfigurationChangeTests.java
@@ -38,19 +38,19 @@
 
 	private final FakeDaemon daemon = new FakeDaemon();
 
-	private final AtomicLong clock = new AtomicLong();
+	private final AtomicLong now = new AtomicLong();
 
-	private final Pause pause = new Pause() {
+	private final Clock clock = new Clock() {
 
 		@Override
 		public long nanos() {
-			return ConfigurationChangeTests.this.clock.get();
+			return ConfigurationChangeTests.this.now.get();
 		}
 
 		@Override
 		public void sleep(Duration time) {
-			ConfigurationChangeTests.this.clock.addAndGet(time.toNanos());
-			ConfigurationChangeTests.this.daemon.duringPause.run();
+			ConfigurationChangeTests.this.now.addAndGet(time.toNanos());
+			ConfigurationChangeTests.this.daemon.duringSleep.run();
 		}
 
 	};
@@ -63,7 +63,7 @@
 	}
 
 	private ChangeResult apply() throws CommandException {
-		return ConfigurationChange.create(this.daemon, this.pause, Duration.ofSeconds(10)).apply(1, OURS);
+		return ConfigurationChange.create(this.daemon, this.clock, Duration.ofSeconds(10)).apply(1, OURS);
 	}
 
 	@Test
@@ -104,7 +104,7 @@
 	@Test
 	void aLostRequestIsSentAgainOnlyAfterReadingTheOldVersion() throws Exception {
 		this.daemon.beforePut = () -> null;
-		this.daemon.duringPause = () -> this.daemon.beforePut = () -> this.daemon.commit(OURS, false);
+		this.daemon.duringSleep = () -> this.daemon.beforePut = () -> this.daemon.commit(OURS, false);
 		assertThat(apply().result(), is(ChangeOutcome.ACCEPTED));
 		assertThat(this.daemon.puts, is(2));
 		assertThat(this.daemon.versions, hasSize(2));
@@ -149,7 +149,7 @@
 
 		private Supplier<OperatorReply> beforePut = () -> commit(OURS, false);
 
-		private Runnable duringPause = () -> {
+		private Runnable duringSleep = () -> {
 		};
 
 		private int puts;
