--- a/io/src/main/java/org/banyanstile/io/http/HttpResponse.java
+++ b/io/src/main/java/org/banyanstile/io/http/HttpResponse.java
@@ -148,8 +148,8 @@
 				out.write(this.buffer.array(), this.buffer.position(), this.buffer.remaining());
 				this.buffer.position(this.buffer.limit());
 				if (out.size() > maxBytes) {
-					throw new ConnectionBrokenException("response from " + this.address + " exceeds " + maxBytes + " bytes",
-							null);
+					throw new ConnectionBrokenException(
+							"response from " + this.address + " exceeds " + maxBytes + " bytes", null);
 				}
 			}
 			return out.toByteArray();
