--- a/emulator/src/main/java/org/banyanstile/emulator/engine/ColdStart.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/ColdStart.java
@@ -1,8 +1,7 @@
 package org.banyanstile.emulator.engine;
 
 /**
- * Reduced capacity of an engine in the time after its start, or after a fault made it
- * cold.
+ * Reduced capacity of an engine after its start, or after an injected fault made it cold.
  *
  * @author banyanstile contributors
  */
@@ -26,7 +25,7 @@
 		return now - this.coldUntil < 0;
 	}
 
-	synchronized void cool(long until) {
+	synchronized void makeCold(long until) {
 		this.coldUntil = until;
 		this.refusals = 0;
 	}
@@ -36,7 +35,7 @@
 	}
 
 	/**
-	 * Checks the capacity for one more request.
+	 * Checks that there is capacity for one more request.
 	 * @param active requests that hold capacity
 	 * @param now the time in nanoseconds
 	 * @throws EngineRefusal if there is no capacity
@@ -53,10 +52,10 @@
 	}
 
 	/**
-	 * Returns whether a cold engine was driven at full load.
+	 * Returns whether a cold engine received the load of a warm one.
 	 * @return {@code true} after as many refusals as a warm engine has slots
 	 */
-	synchronized boolean isOverdriven() {
+	synchronized boolean isOverloaded() {
 		return this.refusals >= this.slots;
 	}
 
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/DecodeBatch.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/DecodeBatch.java
@@ -43,13 +43,14 @@
 	}
 
 	/**
-	 * Reserves a place and memory for an import.
+	 * Reserves an endpoint slot and KV memory for an import.
 	 * @param requestId the request
 	 * @param holder the VM that serves it
 	 * @param prompt the prompt
 	 * @param now the time in nanoseconds
 	 * @return the sequence
-	 * @throws EngineRefusal if there is no place, no memory, or the request is known
+	 * @throws EngineRefusal if no slot or memory is free, or the request is already
+	 * active
 	 */
 	synchronized Sequence beginImport(String requestId, String holder, String prompt, long now) throws EngineRefusal {
 		Sequence known = this.sequences.get(requestId);
@@ -113,7 +114,7 @@
 	}
 
 	/**
-	 * Waits until a sequence has more tokens or has ended.
+	 * Waits until a sequence has more tokens, has ended, or is interrupted.
 	 * @param attachment the caller's connection to the sequence
 	 * @param offset tokens that the caller has
 	 * @return the progress
@@ -126,9 +127,9 @@
 				&& sequence.generated <= offset) {
 			wait();
 		}
-		boolean cut = sequence.connection != connection || sequence.state == Sequence.State.CANCELLED;
+		boolean interrupted = sequence.connection != connection || sequence.state == Sequence.State.CANCELLED;
 		boolean end = sequence.state == Sequence.State.FINISHED;
-		return new Progress(sequence.generated, cut, end ? sequence.finishReason() : null);
+		return new Progress(sequence.generated, interrupted, end ? sequence.finishReason() : null);
 	}
 
 	synchronized void step(long now) {
@@ -224,11 +225,12 @@
 	 * Progress of a sequence as one connection sees it.
 	 *
 	 * @param generated tokens generated so far
-	 * @param cut whether the sequence was cancelled or a newer connection took it over
-	 * @param finish reason of the end, or {@code null} while it runs
+	 * @param interrupted whether the sequence was cancelled or a newer connection took it
+	 * over
+	 * @param finish reason of the end, or {@code null} if it has not finished
 	 * @author banyanstile contributors
 	 */
-	record Progress(int generated, boolean cut, @Nullable String finish) {
+	record Progress(int generated, boolean interrupted, @Nullable String finish) {
 	}
 
 	/**
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/Engine.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/Engine.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * State of the engine stand-in, and the thread that steps its batch.
+ * State of the engine stand-in, and the loop that runs its decode steps.
  *
  * @author banyanstile contributors
  */
@@ -19,7 +19,7 @@
 
 	private static final String CRASH_WORD = "crash-engine";
 
-	/** A cold engine generates this many times slower. */
+	/** Factor by which a decode step takes longer while the engine is cold. */
 	private static final int COLD_SLOWDOWN = 4;
 
 	private final EngineCommand options;
@@ -110,10 +110,10 @@
 	}
 
 	/**
-	 * Ends the process if it was driven at full load while cold and is set to crash then.
+	 * Halts the process if the engine was overloaded while cold and is set to crash then.
 	 */
-	void crashIfOverdriven() {
-		if (this.options.coldCrash() && this.cold.isOverdriven()) {
+	void crashIfOverloaded() {
+		if (this.options.coldCrash() && this.cold.isOverloaded()) {
 			Runtime.getRuntime().halt(1);
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 
 	void makeCold(long millis) {
-		this.cold.cool(now() + TimeUnit.MILLISECONDS.toNanos(millis));
+		this.cold.makeCold(now() + TimeUnit.MILLISECONDS.toNanos(millis));
 	}
 
 	synchronized Map<String, Object> load() {
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/EngineCommand.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/EngineCommand.java
@@ -45,7 +45,7 @@
 			description = "additional time of a decode step for each request in the batch")
 	private long stepStreamMicros = 500;
 
-	@Parameter(names = "--load-lag-millis", description = "age up to which a load report is repeated")
+	@Parameter(names = "--load-lag-millis", description = "age up to which a load report is served from cache")
 	private long loadLagMillis = 500;
 
 	@Parameter(names = "--cold-millis", description = "time after the start during which the engine is cold")
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/EngineServer.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/EngineServer.java
@@ -14,7 +14,7 @@
 import org.banyanstile.io.http.HttpClient;
 
 /**
- * Engine over HTTP.
+ * HTTP interface of the engine stand-in.
  *
  * @author banyanstile contributors
  */
@@ -77,7 +77,7 @@
 			step.run();
 		}
 		catch (EngineRefusal ex) {
-			this.engine.crashIfOverdriven();
+			this.engine.crashIfOverloaded();
 			Json.error(exchange, ex.status(), String.valueOf(ex.getMessage()));
 		}
 	}
@@ -100,7 +100,7 @@
 		LineWriter writer = new LineWriter(exchange);
 		while (true) {
 			DecodeBatch.Progress progress = batch.await(attachment, offset);
-			if (progress.cut()) {
+			if (progress.interrupted()) {
 				exchange.getConnection().close();
 				return;
 			}
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/EngineText.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/EngineText.java
@@ -9,7 +9,7 @@
 
 /**
  * Text that the engine generates. Each word is a function of the prompt and of its
- * offset, so that an answer can be verified without the engine.
+ * offset, so that a response can be verified without the engine.
  *
  * @author banyanstile contributors
  */
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Returns the digest of a prompt, which is part of each word of its answer.
+	 * Returns the digest of a prompt, which is part of each word of the response.
 	 * @param prompt the prompt
 	 * @return hexadecimal text
 	 */
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Returns a word of an answer.
+	 * Returns a word of a response.
 	 * @param digest digest of the prompt
 	 * @param offset offset of the word, from 0
 	 * @return the word
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Returns the number of words after which the answer to a prompt stops by itself.
+	 * Returns the number of words after which the response to a prompt ends by itself.
 	 * @param prompt the prompt; a word {@code answer-words=N} sets the number
 	 * @return the number of words, or {@link Integer#MAX_VALUE} without that word
 	 */
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/KvTransfer.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/KvTransfer.java
@@ -24,7 +24,7 @@
 
 	private static final Duration STALL_TIMEOUT = Duration.ofSeconds(3);
 
-	/** Filler of a piece. The rate is limited by the link, not by the bytes. */
+	/** Payload of a piece. Its size does not affect the rate, which the link limits. */
 	private static final String FILLER = "k".repeat(256);
 
 	private final Engine engine;
@@ -70,7 +70,7 @@
 	 * progress.
 	 * @param exchange the exchange
 	 * @param body the request
-	 * @throws EngineRefusal if there is no place for the request
+	 * @throws EngineRefusal if no slot or memory is free for the request
 	 * @throws IOException if the connection to the caller broke
 	 * @throws InterruptedException if interrupted
 	 */
@@ -117,7 +117,7 @@
 	private static JsonNode next(HttpResponse response) throws HttpException, IOException {
 		String line = response.line(MAX_LINE_BYTES);
 		if (line == null) {
-			throw new IOException("transfer ended early");
+			throw new IOException("KV transfer ended before the last piece");
 		}
 		return Json.parse(line);
 	}
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/LineWriter.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/LineWriter.java
@@ -10,7 +10,7 @@
 import org.banyanstile.emulator.http.Json;
 
 /**
- * Writes newline-delimited JSON, each line at once.
+ * Writes newline-delimited JSON and flushes each line.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/Link.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/Link.java
@@ -21,7 +21,7 @@
 	/**
 	 * Queues one piece.
 	 * @param now the time in nanoseconds
-	 * @return nanoseconds until the piece has passed
+	 * @return nanoseconds until the piece has been transferred
 	 */
 	synchronized long queue(long now) {
 		if (this.freeAt - now < 0) {
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/PrefillGate.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/PrefillGate.java
@@ -4,7 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Lets a limited number of prefills run; the others wait by priority, then by arrival.
+ * Limits the number of concurrent prefills. The others are queued by priority, then by
+ * arrival.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/main/java/org/banyanstile/emulator/engine/PrefillTable.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/engine/PrefillTable.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Prefill results. A result that was not exported by its expiry is wasted; a running
- * export keeps it.
+ * Prefill results. A result expires and counts as wasted unless it is exported in time; a
+ * running export defers the expiry.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/test/java/org/banyanstile/emulator/engine/EngineLogicTests.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/engine/EngineLogicTests.java
@@ -79,21 +79,21 @@
 		imported("r", 1);
 		DecodeBatch.Attachment older = this.batch.attach("r", "vm/1", 3, 1);
 		DecodeBatch.Attachment newer = this.batch.attach("r", "vm/2", 3, 1);
-		assertThat(this.batch.await(older, 0).cut(), is(true));
+		assertThat(this.batch.await(older, 0).interrupted(), is(true));
 		this.batch.step(2);
-		assertThat(this.batch.await(newer, 0).cut(), is(false));
+		assertThat(this.batch.await(newer, 0).interrupted(), is(false));
 		assertThat(this.batch.streams(2).get(0).holder(), is("vm/2"));
 	}
 
 	@Test
-	void cancellationFreesMemoryAndTheListForgetsTheStream() throws Exception {
+	void cancellationFreesMemoryAndRemovesTheStreamFromTheList() throws Exception {
 		imported("r", 1);
 		DecodeBatch.Attachment attachment = this.batch.attach("r", "vm/1", 1500, 1);
 		assertThat(this.memory.used(), is(2));
 		assertThat(this.batch.streams(1), hasSize(1));
 		this.batch.cancel("r", 2);
 		assertThat(this.memory.used(), is(0));
-		assertThat(this.batch.await(attachment, 0).cut(), is(true));
+		assertThat(this.batch.await(attachment, 0).interrupted(), is(true));
 		assertThat(this.batch.streams(2), is(empty()));
 	}
 
@@ -116,14 +116,14 @@
 	}
 
 	@Test
-	void aColdEngineAtFullLoadIsOverdriven() throws Exception {
-		this.cold.cool(100);
+	void aColdEngineAtFullLoadIsOverloaded() throws Exception {
+		this.cold.makeCold(100);
 		imported("r", 1);
 		for (int i = 0; i < 3; i++) {
-			assertThat(this.cold.isOverdriven(), is(false));
+			assertThat(this.cold.isOverloaded(), is(false));
 			assertThat(assertThrows(EngineRefusal.class, () -> imported("s", 1)).status(), is(503));
 		}
-		assertThat(this.cold.isOverdriven(), is(true));
+		assertThat(this.cold.isOverloaded(), is(true));
 		assertThat(this.cold.capacity(100), is(3));
 	}
 
