--- a/emulator/src/main/java/org/banyanstile/emulator/http/JsonServer.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/http/JsonServer.java
@@ -55,7 +55,8 @@
 			Json.error(exchange, 400, "body is not JSON");
 		}
 		catch (IOException ex) {
-			// The peer closed the connection; a handler that cares has noted it itself.
+			// The peer closed the connection. Handlers that must react to it do so
+			// themselves.
 			exchange.getConnection().close();
 		}
 	}
--- a/emulator/src/main/java/org/banyanstile/emulator/http/KeyLeaks.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/http/KeyLeaks.java
@@ -8,7 +8,7 @@
 import io.undertow.util.Headers;
 
 /**
- * Counts requests that carry a caller's credentials, which no endpoint may ever see.
+ * Counts requests that carry a caller's credentials, which must not reach an endpoint.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/main/java/org/banyanstile/emulator/platform/LaggingVmList.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/platform/LaggingVmList.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * List of VMs that shows each change only after a fixed time.
+ * List of VMs that shows each change only after a fixed delay.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/main/java/org/banyanstile/emulator/platform/PlatformServer.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/platform/PlatformServer.java
@@ -19,7 +19,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Table service and VM list over HTTP.
+ * HTTP interface of the table service and the VM list.
  *
  * @author banyanstile contributors
  */
@@ -108,7 +108,7 @@
 			Json.error(exchange, 503, "unavailable");
 			return;
 		}
-		if (!limit.take(this.ticker.nanos())) {
+		if (!limit.tryAcquire(this.ticker.nanos())) {
 			Json.error(exchange, 429, "throttled");
 			return;
 		}
--- a/emulator/src/main/java/org/banyanstile/emulator/platform/RateLimit.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/platform/RateLimit.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Token bucket that holds a quarter of a second's worth of calls.
+ * Token bucket whose burst is the calls of a quarter of a second.
  *
  * @author banyanstile contributors
  */
@@ -24,7 +24,7 @@
 		this.filledAt = now;
 	}
 
-	synchronized boolean take(long now) {
+	synchronized boolean tryAcquire(long now) {
 		double seconds = (double) (now - this.filledAt) / TimeUnit.SECONDS.toNanos(1);
 		this.level = Math.min(this.burst, this.level + seconds * this.perSecond);
 		this.filledAt = now;
--- a/emulator/src/main/java/org/banyanstile/emulator/platform/Table.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/platform/Table.java
@@ -15,8 +15,8 @@
 import org.banyanstile.core.store.Write;
 
 /**
- * Rows in key order, changed by conditional transactions. The version counter rises over
- * the whole store, so a row that was deleted and written again never repeats a version.
+ * Rows in key order, changed by conditional transactions. All rows share one version
+ * counter, so a row that was deleted and written again never reuses a version.
  *
  * @author banyanstile contributors
  */
--- a/emulator/src/main/java/org/banyanstile/emulator/platform/TableFaults.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/platform/TableFaults.java
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Draws the fault of one call. A slow call is delayed before or after it takes
+	 * Chooses the fault of the next call. A slow call is delayed before or after it takes
 	 * effect, so that a caller's timeout leaves both outcomes possible.
 	 * @return the fault
 	 */
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	 * What the service does with its calls.
+	 * Kind of fault that is injected into the calls.
 	 *
 	 * @author banyanstile contributors
 	 */
--- a/emulator/src/main/java/org/banyanstile/emulator/service/ServiceServer.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/service/ServiceServer.java
@@ -12,7 +12,7 @@
 import org.banyanstile.emulator.http.KeyLeaks;
 
 /**
- * Plain service: a POST to any path executes an order, a GET looks something up.
+ * Plain service: a POST to any path executes an order, a GET is a read-only lookup.
  *
  * @author banyanstile contributors
  */
@@ -60,7 +60,8 @@
 	}
 
 	private void execute(HttpServerExchange exchange, String body) throws InterruptedException {
-		// Counted before the latency: an order whose connection breaks has still run.
+		// Counted before the delay: an order whose connection breaks has still been
+		// executed.
 		long number = this.executions.add(header(exchange, "Idempotency-Key"));
 		Thread.sleep(this.latencyMillis);
 		Json.send(exchange, 201, Map.of("order", number, "path", exchange.getRequestPath(), "team",
--- a/emulator/src/test/java/org/banyanstile/emulator/platform/PlatformLogicTests.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/platform/PlatformLogicTests.java
@@ -68,7 +68,7 @@
 		int taken = 0;
 		for (int millis = 0; millis < 2000; millis++) {
 			for (int i = 0; i < 5; i++) {
-				taken += limit.take(TimeUnit.MILLISECONDS.toNanos(millis)) ? 1 : 0;
+				taken += limit.tryAcquire(TimeUnit.MILLISECONDS.toNanos(millis)) ? 1 : 0;
 			}
 		}
 		assertThat(taken, is(equalTo(100 + 799)));
