--- a/emulator/src/main/java/org/banyanstile/emulator/load/AnswerCheck.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/AnswerCheck.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Verifies an answer word by word: the words of this request, without gap or duplicate.
+ * Verifies a response word by word: the words of this request, without gap or duplicate.
  *
  * @author banyanstile contributors
  */
@@ -19,7 +19,7 @@
 	private @Nullable String fault;
 
 	/**
-	 * Creates the check of an answer that has not begun.
+	 * Creates the check of a response that has not begun.
 	 * @param request the request
 	 */
 	public AnswerCheck(TextRequest request) {
@@ -35,20 +35,20 @@
 	public void accept(long offset, String text) {
 		String word = EngineText.word(this.digest, this.words);
 		if (offset != this.words) {
-			fail("offset " + offset + " after " + this.words + " words");
+			fail("got offset " + offset + " after " + this.words + " words");
 		}
 		else if (!text.strip().equals(word)) {
-			fail("'" + text.strip() + "' in place of '" + word + "'");
+			fail("got '" + text.strip() + "', expected '" + word + "'");
 		}
 		this.words++;
 	}
 
 	/**
-	 * Accepts the end of the answer.
+	 * Accepts the end of the response.
 	 */
 	public void end() {
 		if (this.words != this.length) {
-			fail("end after " + this.words + " of " + this.length + " words");
+			fail("response ended after " + this.words + " of " + this.length + " words");
 		}
 	}
 
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Returns the first fault of the answer.
+	 * Returns the first fault of the response.
 	 * @return the fault, or {@code null} if there is none
 	 */
 	public @Nullable String fault() {
--- a/emulator/src/main/java/org/banyanstile/emulator/load/BookingCaller.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/BookingCaller.java
@@ -13,7 +13,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Makes one booking. The call is repeated at another VM, with the same idempotency key,
+ * Makes one booking. The call is retried at another VM, with the same idempotency key,
  * when its connection fails.
  *
  * @author banyanstile contributors
@@ -48,7 +48,7 @@
 	}
 
 	void run() throws InterruptedException {
-		long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(this.options.giveUpSeconds());
+		long retryUntil = System.nanoTime() + TimeUnit.SECONDS.toNanos(this.options.giveUpSeconds());
 		while (true) {
 			String vm = this.vms.choose();
 			Refusal refusal = attempt(vm);
@@ -58,7 +58,7 @@
 			if (refusal.type().equals("connection") || refusal.type().equals("not_serving")) {
 				this.vms.failed(vm);
 			}
-			if (!refusal.isRetryable() || System.nanoTime() - giveUpAt >= 0) {
+			if (!refusal.isRetryable() || System.nanoTime() - retryUntil >= 0) {
 				this.result.refused(refusal.type());
 				return;
 			}
@@ -73,16 +73,16 @@
 			.withHeader("Authorization", "Bearer " + this.key)
 			.withHeader("Idempotency-Key", this.idempotencyKey);
 		try (HttpResponse response = this.client.send(call)) {
-			String answer = response.text(MAX_BODY_BYTES);
+			String text = response.text(MAX_BODY_BYTES);
 			if (response.status() != 201) {
-				return Refusal.parse(response.status(), answer);
+				return Refusal.parse(response.status(), text);
 			}
-			String echo = Json.parse(answer).path("echo").asText();
+			String echo = Json.parse(text).path("echo").asText();
 			if (echo.equals(this.body)) {
 				this.result.answered();
 			}
 			else {
-				this.result.wrong("booking answered with that of another request");
+				this.result.wrong("response belongs to another booking");
 			}
 			return null;
 		}
--- a/emulator/src/main/java/org/banyanstile/emulator/load/Event.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/Event.java
@@ -20,7 +20,7 @@
 	 * Reads the next event.
 	 * @param response the response
 	 * @return the event, or {@code null} at the end of the response
-	 * @throws HttpException if the connection broke or was silent
+	 * @throws HttpException if the connection broke or timed out
 	 */
 	public static @Nullable Event read(HttpResponse response) throws HttpException {
 		String id = null;
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Returns whether this is the end of an answer.
+	 * Returns whether this event marks the end of the response.
 	 * @return whether this is the end
 	 */
 	public boolean isDone() {
--- a/emulator/src/main/java/org/banyanstile/emulator/load/LoadCommand.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/LoadCommand.java
@@ -11,7 +11,7 @@
  *
  * @author banyanstile contributors
  */
-@Parameters(commandDescription = "call the deployment and verify each answer")
+@Parameters(commandDescription = "call the deployment and verify each response")
 public final class LoadCommand {
 
 	@Parameter(names = "--vms", description = "caller addresses to ask for the list of VMs, separated by commas",
@@ -21,7 +21,7 @@
 	@Parameter(names = "--keys", description = "keys of the teams, separated by commas", required = true)
 	private List<String> keys = new ArrayList<>();
 
-	@Parameter(names = "--callers", description = "callers at a time, of each kind")
+	@Parameter(names = "--callers", description = "concurrent callers of each kind")
 	private int callers = 8;
 
 	@Parameter(names = "--requests", description = "number of generated texts")
@@ -42,17 +42,17 @@
 	@Parameter(names = "--prompt-words", description = "largest number of words of a prompt")
 	private int promptWords = 200;
 
-	@Parameter(names = "--max-tokens", description = "largest number of words of an answer")
+	@Parameter(names = "--max-tokens", description = "largest number of words of a response")
 	private int maxTokens = 60;
 
-	@Parameter(names = "--give-up-seconds", description = "time after which a request is given up")
+	@Parameter(names = "--give-up-seconds", description = "time after which a request is no longer retried")
 	private int giveUpSeconds = 60;
 
 	@Parameter(names = "--silence-millis",
 			description = "time without a byte after which a stream is resumed at another VM")
 	private long silenceMillis = 4000;
 
-	@Parameter(names = "--head-millis", description = "time without a response after which a call is repeated")
+	@Parameter(names = "--head-millis", description = "time without a response after which a call is retried")
 	private long headMillis = 10000;
 
 	@Parameter(names = "--seed", description = "seed of the prompts and of the choice of VMs")
@@ -72,7 +72,7 @@
 	}
 
 	/**
-	 * Sets the callers at a time, of each kind.
+	 * Sets the number of concurrent callers of each kind.
 	 * @param number the number
 	 * @return these options
 	 */
@@ -112,7 +112,7 @@
 	}
 
 	/**
-	 * Sets the largest number of words of an answer.
+	 * Sets the largest number of words of a response.
 	 * @param number the number
 	 * @return these options
 	 */
--- a/emulator/src/main/java/org/banyanstile/emulator/load/LoadResult.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/LoadResult.java
@@ -67,7 +67,7 @@
 	}
 
 	/**
-	 * Returns the number of requests with a complete and right answer.
+	 * Returns the number of requests with a complete and correct response.
 	 * @return the number
 	 */
 	public synchronized int answeredCount() {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Returns the number of requests with a wrong answer.
+	 * Returns the number of requests with a wrong response.
 	 * @return the number
 	 */
 	public synchronized int wrongCount() {
--- a/emulator/src/main/java/org/banyanstile/emulator/load/LoadRun.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/LoadRun.java
@@ -112,7 +112,7 @@
 
 	/**
 	 * Waits until a number of requests has ended. Each one ends at the latest when its
-	 * caller gives up.
+	 * caller stops retrying.
 	 * @param number the number
 	 * @throws InterruptedException if interrupted
 	 */
--- a/emulator/src/main/java/org/banyanstile/emulator/load/Refusal.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/Refusal.java
@@ -7,7 +7,7 @@
 import org.banyanstile.emulator.http.Json;
 
 /**
- * Error that the deployment answered.
+ * Error response of the deployment.
  *
  * @param type the error type
  * @param run what is known about the execution
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns the refusal of a caller whose connection failed.
+	 * Returns the refusal that stands for a failed connection.
 	 * @return the refusal
 	 */
 	public static Refusal connection() {
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Returns whether a repeat with the same idempotency key can succeed. A rate-limited
+	 * Returns whether a retry with the same idempotency key can succeed. A rate-limited
 	 * request without a retry time is larger than the team's burst.
 	 * @return whether to retry
 	 */
--- a/emulator/src/main/java/org/banyanstile/emulator/load/TextCaller.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/TextCaller.java
@@ -14,8 +14,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls for one generated text until it is answered, refused for good, or given up. A
- * broken stream is resumed at another VM; a lost one is asked for again from the start.
+ * Requests one generated text until it is complete, refused permanently, or past the time
+ * limit for retries. A broken stream is resumed at another VM; a lost one is requested
+ * again from the start.
  *
  * @author banyanstile contributors
  */
@@ -56,7 +57,7 @@
 
 	void run() throws InterruptedException {
 		long startedAt = System.nanoTime();
-		long giveUpAt = startedAt + TimeUnit.SECONDS.toNanos(this.options.giveUpSeconds());
+		long retryUntil = startedAt + TimeUnit.SECONDS.toNanos(this.options.giveUpSeconds());
 		while (true) {
 			String vm = this.vms.choose();
 			Refusal refusal = attempt(vm, startedAt);
@@ -68,7 +69,7 @@
 				this.vms.failed(vm);
 			}
 			boolean lost = refusal.type().equals("stream_lost");
-			if ((!lost && !refusal.isRetryable()) || System.nanoTime() - giveUpAt >= 0) {
+			if ((!lost && !refusal.isRetryable()) || System.nanoTime() - retryUntil >= 0) {
 				this.result.refused(refusal.type());
 				return;
 			}
--- a/emulator/src/main/java/org/banyanstile/emulator/load/TextRequest.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/TextRequest.java
@@ -12,7 +12,7 @@
  * Request for generated text.
  *
  * @param prompt the prompt
- * @param maxTokens largest number of words of the answer
+ * @param maxTokens largest number of words of the response
  * @author banyanstile contributors
  */
 public record TextRequest(String prompt, int maxTokens) {
@@ -24,7 +24,7 @@
 	 * Returns a request with a random prompt.
 	 * @param number number of the request, which is part of the prompt
 	 * @param promptWords largest number of words of the prompt
-	 * @param maxTokens largest number of words of the answer
+	 * @param maxTokens largest number of words of the response
 	 * @param random source of random numbers
 	 * @return the request
 	 */
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Returns the number of words of the right answer.
+	 * Returns the number of words of the correct response.
 	 * @return the number
 	 */
 	public int answerLength() {
--- a/emulator/src/main/java/org/banyanstile/emulator/load/VmDirectory.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/VmDirectory.java
@@ -19,7 +19,7 @@
 import org.banyanstile.io.http.HttpResponse;
 
 /**
- * VMs that a caller may use, as the deployment tells it.
+ * VMs that callers may use, as reported by the deployment.
  *
  * @author banyanstile contributors
  */
@@ -30,7 +30,7 @@
 	/** A VM whose connection failed stays in the list until its lease expires. */
 	private static final long AVOID_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-	private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
+	private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
 	private final HttpClient client;
 
@@ -84,7 +84,7 @@
 	private void refresh(long now) {
 		for (String address : preferred(this.known, now)) {
 			try (HttpResponse response = this.client
-				.send(HttpRequest.get(address, "/v1/vms").withTimeout(ANSWER_TIMEOUT))) {
+				.send(HttpRequest.get(address, "/v1/vms").withTimeout(RESPONSE_TIMEOUT))) {
 				if (response.status() == 200) {
 					accept(Json.parse(response.text(MAX_BODY_BYTES)), now);
 					return;
@@ -97,12 +97,12 @@
 		this.addresses = List.of();
 	}
 
-	private void accept(JsonNode answer, long now) {
+	private void accept(JsonNode response, long now) {
 		List<String> listed = new ArrayList<>();
-		answer.path("vms").forEach((vm) -> listed.add(vm.path("address").asText()));
+		response.path("vms").forEach((vm) -> listed.add(vm.path("address").asText()));
 		this.addresses = List.copyOf(listed);
 		this.known.addAll(listed);
-		this.validUntil = now + TimeUnit.SECONDS.toNanos(answer.path("validForSeconds").asLong());
+		this.validUntil = now + TimeUnit.SECONDS.toNanos(response.path("validForSeconds").asLong());
 	}
 
 }
--- a/emulator/src/main/java/org/banyanstile/emulator/load/package-info.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Load tool that verifies each answer.
+ * Load tool that verifies each response.
  */
 @NullMarked
 package org.banyanstile.emulator.load;
--- a/emulator/src/test/java/org/banyanstile/emulator/load/AnswerCheckTests.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/load/AnswerCheckTests.java
@@ -9,7 +9,7 @@
 import static org.hamcrest.Matchers.nullValue;
 
 /**
- * Tests for {@link AnswerCheck}: a check that passed a damaged answer would hide the
+ * Tests for {@link AnswerCheck}: a check that accepted a damaged response would hide the
  * faults that the process tests look for.
  *
  * @author banyanstile contributors
