--- a/emulator/src/main/java/org/banyanstile/emulator/process/Conditions.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/process/Conditions.java
@@ -40,7 +40,8 @@
 			}
 			TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
 		}
-		throw new IllegalStateException(what + ": not within " + limit.toSeconds() + " s, last: " + last);
+		throw new IllegalStateException(
+				what + ": did not hold within " + limit.toSeconds() + " s, last result: " + last);
 	}
 
 	/**
--- a/emulator/src/main/java/org/banyanstile/emulator/process/Deployment.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/process/Deployment.java
@@ -135,13 +135,13 @@
 	}
 
 	private String addressOf(String name) {
-		// An endpoint that is started again keeps the address of the configuration.
+		// A restarted endpoint keeps its address, which the configuration holds.
 		Node earlier = this.nodes.get(name);
 		return (earlier != null) ? earlier.address() : this.ports.address();
 	}
 
 	/**
-	 * Starts a VM with a new name and puts it on the platform's list.
+	 * Starts a VM with a new name and adds it to the platform's list.
 	 * @param name name of the VM
 	 * @param dataCentre its data centre
 	 * @return the VM
@@ -191,18 +191,18 @@
 	}
 
 	/**
-	 * Waits until all stand-ins answer.
+	 * Waits until all stand-ins respond.
 	 * @throws InterruptedException if interrupted
 	 */
 	public void awaitNodes() throws InterruptedException {
 		for (Map.Entry<String, Node> entry : this.nodes.entrySet()) {
-			Conditions.await(entry.getKey() + " answers", START_LIMIT,
+			Conditions.await(entry.getKey() + " responds", START_LIMIT,
 					() -> this.calls.get(entry.getValue().address(), "/stats").status() > 0);
 		}
 	}
 
 	/**
-	 * Waits until all VMs tell callers to use exactly the running VMs.
+	 * Waits until every VM lists exactly the running VMs to callers.
 	 * @param limit longest time to wait
 	 * @throws InterruptedException if interrupted
 	 */
@@ -226,10 +226,10 @@
 	 * Sends a call of an operator.
 	 * @param vm the VM to call
 	 * @param request the request, whose address is replaced by that of the VM
-	 * @return the answer
-	 * @throws HttpException if there was no answer
+	 * @return the response
+	 * @throws HttpException if there was no response
 	 */
-	public JsonCalls.Answer operator(VmNode vm, HttpRequest request) throws HttpException {
+	public JsonCalls.Response operator(VmNode vm, HttpRequest request) throws HttpException {
 		HttpRequest call = new HttpRequest(request.method(), vm.operatorAddress(), request.path(), request.headers(),
 				request.body(), request.timeout(), true);
 		return this.calls.send(call.withHeader("Authorization", "Bearer " + this.operatorToken));
@@ -259,7 +259,7 @@
 	public Node node(String name) {
 		Node node = this.nodes.get(name);
 		if (node == null) {
-			throw new IllegalArgumentException("no stand-in " + name);
+			throw new IllegalArgumentException("no stand-in with the name " + name);
 		}
 		return node;
 	}
--- a/emulator/src/main/java/org/banyanstile/emulator/process/FreePorts.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/process/FreePorts.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Chooses free ports on loopback. The ports are below the range from which the system
- * takes the ports of outgoing connections, so that none is lost before it is bound.
+ * Chooses free ports on loopback. The ports are below the ephemeral range, so that no
+ * outgoing connection takes one before it is bound.
  *
  * @author banyanstile contributors
  */
@@ -21,13 +21,13 @@
 
 	private static final int ATTEMPTS = 1000;
 
-	private final Set<Integer> given = new HashSet<>();
+	private final Set<Integer> assigned = new HashSet<>();
 
 	synchronized String address() {
 		for (int i = 0; i < ATTEMPTS; i++) {
 			int port = ThreadLocalRandom.current().nextInt(FIRST, LAST);
-			if (!this.given.contains(port) && isFree(port)) {
-				this.given.add(port);
+			if (!this.assigned.contains(port) && isFree(port)) {
+				this.assigned.add(port);
 				return "127.0.0.1:" + port;
 			}
 		}
--- a/emulator/src/main/java/org/banyanstile/emulator/process/JsonCalls.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/process/JsonCalls.java
@@ -12,7 +12,7 @@
 import org.banyanstile.io.http.HttpResponse;
 
 /**
- * Calls that are answered with JSON.
+ * HTTP calls whose responses are JSON.
  *
  * @author banyanstile contributors
  */
@@ -28,10 +28,10 @@
 	 * Sends a request without a body.
 	 * @param address address as {@code ip:port}
 	 * @param path path with query
-	 * @return the answer
-	 * @throws HttpException if there was no answer
+	 * @return the response
+	 * @throws HttpException if there was no response
 	 */
-	public Answer get(String address, String path) throws HttpException {
+	public Response get(String address, String path) throws HttpException {
 		return send(HttpRequest.get(address, path));
 	}
 
@@ -40,23 +40,23 @@
 	 * @param address address as {@code ip:port}
 	 * @param path path with query
 	 * @param body the body
-	 * @return the answer
-	 * @throws HttpException if there was no answer
+	 * @return the response
+	 * @throws HttpException if there was no response
 	 */
-	public Answer post(String address, String path, Object body) throws HttpException {
+	public Response post(String address, String path, Object body) throws HttpException {
 		return send(HttpRequest.postJson(address, path, Json.text(body)));
 	}
 
 	/**
 	 * Sends a request.
 	 * @param request the request
-	 * @return the answer
-	 * @throws HttpException if there was no answer
+	 * @return the response
+	 * @throws HttpException if there was no response
 	 */
-	public Answer send(HttpRequest request) throws HttpException {
+	public Response send(HttpRequest request) throws HttpException {
 		try (HttpResponse response = this.client.send(request.withTimeout(TIMEOUT).withFreshConnection())) {
 			String text = response.text(MAX_BODY_BYTES);
-			return new Answer(response.status(), json(text));
+			return new Response(response.status(), json(text));
 		}
 	}
 
@@ -83,13 +83,13 @@
 	}
 
 	/**
-	 * An answer.
+	 * A response.
 	 *
 	 * @param status the status code
 	 * @param body the body, a text node if it is not JSON
 	 * @author banyanstile contributors
 	 */
-	public record Answer(int status, JsonNode body) {
+	public record Response(int status, JsonNode body) {
 
 	}
 
--- a/emulator/src/main/java/org/banyanstile/emulator/quickstart/PathLatencyMain.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/quickstart/PathLatencyMain.java
@@ -19,7 +19,7 @@
 /**
  * Measures what a VM adds to a call of a plain service: latency against a direct call in
  * the same run, requests a second, resident memory and the time from start to the first
- * answer.
+ * response.
  *
  * @author banyanstile contributors
  */
@@ -35,7 +35,7 @@
 
 	private static final Duration START_LIMIT = Duration.ofSeconds(30);
 
-	private static final int MAX_ANSWER_BYTES = 65_536;
+	private static final int MAX_RESPONSE_BYTES = 65_536;
 
 	private final HttpClient client = HttpClient.create(2);
 
@@ -97,7 +97,7 @@
 
 	private int send(HttpRequest request) throws HttpException {
 		try (var response = this.client.send(request)) {
-			response.bytes(MAX_ANSWER_BYTES);
+			response.bytes(MAX_RESPONSE_BYTES);
 			return response.status();
 		}
 	}
--- a/emulator/src/main/java/org/banyanstile/emulator/quickstart/QuickstartDeployment.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/quickstart/QuickstartDeployment.java
@@ -58,7 +58,7 @@
 		this.deployment.startVm("vm-2", "lima-b");
 		this.deployment.startVm("vm-3", "lima-a");
 		for (VmNode vm : this.deployment.vms()) {
-			Conditions.await(vm.process().name() + " answers operators", LIMIT,
+			Conditions.await(vm.process().name() + " responds to operators", LIMIT,
 					() -> this.deployment.operator(vm, HttpRequest.get(vm.operatorAddress(), "/operator/v1/status"))
 						.status() == 200);
 		}
@@ -130,7 +130,7 @@
 	/**
 	 * Counts the executions that exceed one for an idempotency key.
 	 * @return the number
-	 * @throws HttpException if a service did not answer
+	 * @throws HttpException if a service did not respond
 	 */
 	int repeatedExecutions() throws HttpException {
 		int repeated = 0;
@@ -147,7 +147,7 @@
 	/**
 	 * Counts the requests that carried a caller's credentials to an endpoint.
 	 * @return the number
-	 * @throws HttpException if an endpoint did not answer
+	 * @throws HttpException if an endpoint did not respond
 	 */
 	int leakedKeys() throws HttpException {
 		int leaked = 0;
--- a/emulator/src/main/java/org/banyanstile/emulator/quickstart/QuickstartMain.java
+++ b/emulator/src/main/java/org/banyanstile/emulator/quickstart/QuickstartMain.java
@@ -13,8 +13,8 @@
 import org.banyanstile.io.http.HttpException;
 
 /**
- * Starts a small deployment, runs a verified load over the loss of a VM, and prints how
- * many requests were answered.
+ * Starts a small deployment, runs a verified load during which a VM is killed, and prints
+ * how many requests were answered.
  *
  * @author banyanstile contributors
  */
@@ -64,8 +64,8 @@
 		int total = options.texts() + options.bookings();
 		int answered;
 		try (LoadRun load = LoadRun.create(LoadCommand.of(quickstart.callerAddresses(), quickstart.keys()))) {
-			// No booking is in flight when the VM is killed: the accurate outcome of one
-			// that is would be "unknown", which is not an answer.
+			// No booking may be in flight when the VM is killed: its correct outcome
+			// would be "unknown", which does not count as answered.
 			load.startBookings(options.bookings() / 2);
 			load.await(options.bookings() / 2);
 			load.startTexts(options.texts());
@@ -78,7 +78,7 @@
 		}
 		int repeated = quickstart.repeatedExecutions();
 		int leaked = quickstart.leakedKeys();
-		System.out.println("bookings run more than once " + repeated + ", keys seen by endpoints " + leaked);
+		System.out.println("bookings executed more than once " + repeated + ", keys seen by endpoints " + leaked);
 		int right = answered - repeated;
 		if (options.isKeep()) {
 			quickstart.printSamples();
--- a/emulator/src/test/java/org/banyanstile/emulator/process/FleetProcessTests.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/process/FleetProcessTests.java
@@ -92,7 +92,7 @@
 	}
 
 	/**
-	 * Guards against engine memory that stays held for a caller who is gone.
+	 * Guards against engine memory that stays reserved after its caller has disconnected.
 	 */
 	@Test
 	@Order(1)
@@ -107,7 +107,7 @@
 	}
 
 	/**
-	 * Guards against an outage of the store that stops generated text, and against a
+	 * Guards against an outage of the store that interrupts generated text, and against a
 	 * booking that runs although its claim was not stored.
 	 */
 	@Test
@@ -142,7 +142,7 @@
 	}
 
 	/**
-	 * Guards against a "not run" for the repeat of a booking that has run, and against a
+	 * Guards against a "not run" for a repeated booking that has run, and against a
 	 * booking that runs without a claim, while the store is down.
 	 */
 	@Test
@@ -154,10 +154,10 @@
 		int before = fleet.executions().size();
 		fleet.setTables("down");
 		try {
-			Conditions.await("the VM knows of the outage", TestFleet.LIMIT,
+			Conditions.await("the VM has detected the outage", TestFleet.LIMIT,
 					() -> "store_unavailable".equals(errorType(fleet.book(vm(1), fleet.key(), fresh))));
 			for (String key : List.of(ran, fresh)) {
-				JsonCalls.Answer refused = fleet.book(vm(1), fleet.key(), key);
+				JsonCalls.Response refused = fleet.book(vm(1), fleet.key(), key);
 				assertThat(refused.toString(), errorType(refused), is("store_unavailable"));
 				assertThat(refused.body().at("/error/run").asText(), is("unknown"));
 			}
@@ -173,13 +173,14 @@
 		assertThat(fleet.executions().size(), greaterThan(before));
 	}
 
-	private static String errorType(JsonCalls.Answer answer) {
-		return answer.body().at("/error/type").asText();
+	private static String errorType(JsonCalls.Response response) {
+		return response.body().at("/error/type").asText();
 	}
 
 	/**
-	 * Guards against a truncated, spliced or doubled answer when the VM that relays it is
-	 * killed, and against engine memory that stays held when its caller does not return.
+	 * Guards against a truncated, spliced or duplicated response when the VM that relays
+	 * it is killed, and against engine memory that stays reserved when its caller does
+	 * not return.
 	 */
 	@Test
 	@Order(8)
@@ -203,7 +204,7 @@
 	}
 
 	/**
-	 * Guards against a booking that runs twice because its caller repeats it at another
+	 * Guards against a booking that runs twice because its caller retries it at another
 	 * VM after the first one was killed.
 	 */
 	@Test
@@ -237,7 +238,7 @@
 	}
 
 	/**
-	 * Guards against a shutdown that cuts off running requests, or that closes the
+	 * Guards against a shutdown that interrupts running requests, or that closes the
 	 * listener while callers still hold the VM in a cached list.
 	 */
 	@Test
@@ -304,11 +305,11 @@
 			String last = "none";
 			while (System.nanoTime() - deadline < 0) {
 				try {
-					JsonCalls.Answer answer = fleet.book(vm, fleet.key(), idempotencyKey);
-					if (answer.status() == 201) {
+					JsonCalls.Response response = fleet.book(vm, fleet.key(), idempotencyKey);
+					if (response.status() == 201) {
 						return "answered";
 					}
-					last = answer.body().at("/error/type").asText();
+					last = response.body().at("/error/type").asText();
 					if (last.equals("outcome_unknown")) {
 						return last;
 					}
@@ -335,7 +336,7 @@
 		HttpResponse running = fleet.openAdmittedText(vm(1), fleet.secondKey());
 		readTokens(running, 3);
 		paused.process().pause();
-		CompletableFuture<JsonCalls.Answer> early;
+		CompletableFuture<JsonCalls.Response> early;
 		try {
 			fleet.withdrawSecondKey();
 			for (int i = 0; i < 2; i++) {
@@ -359,9 +360,9 @@
 	}
 
 	/**
-	 * Calls a paused VM. The call waits in its accept queue until it resumes.
+	 * Calls a paused VM. The connection waits in its accept queue until the VM resumes.
 	 */
-	private static CompletableFuture<JsonCalls.Answer> bookLater(VmNode vm) {
+	private static CompletableFuture<JsonCalls.Response> bookLater(VmNode vm) {
 		return CompletableFuture.supplyAsync(() -> {
 			try {
 				return fleet.book(vm, fleet.secondKey(), UUID.randomUUID().toString());
--- a/emulator/src/test/java/org/banyanstile/emulator/process/StandInProcessTests.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/process/StandInProcessTests.java
@@ -23,8 +23,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests of the stand-ins as processes. A stand-in without these faults would let the
- * process tests of the fleet pass without effect.
+ * Tests of the stand-ins as processes. If they did not inject these faults, the process
+ * tests of the fleet would pass without testing anything.
  *
  * @author banyanstile contributors
  */
@@ -47,16 +47,16 @@
 		this.deployment.close();
 	}
 
-	private JsonCalls.Answer post(Node node, String path, Object body) throws HttpException {
+	private JsonCalls.Response post(Node node, String path, Object body) throws HttpException {
 		return this.deployment.calls().post(node.address(), path, body);
 	}
 
-	private JsonCalls.Answer prefill(Node engine, String prompt) throws HttpException {
+	private JsonCalls.Response prefill(Node engine, String prompt) throws HttpException {
 		return post(engine, "/engine/v1/prefill",
 				Map.of("requestId", "r", "holder", "vm/1", "model", "m", "prompt", prompt, "priority", 0));
 	}
 
-	private JsonCalls.Answer importKv(Node engine, Node source, String prefillId) throws HttpException {
+	private JsonCalls.Response importKv(Node engine, Node source, String prefillId) throws HttpException {
 		return post(engine, "/engine/v1/kv/import",
 				Map.of("requestId", "r", "holder", "vm/1", "source", source.address(), "prefillId", prefillId));
 	}
@@ -105,9 +105,9 @@
 		post(source, "/faults/v1", Map.of("stallExports", true));
 		String id = prefill(source, PROMPT).body().path("prefillId").asText();
 		long startedAt = System.nanoTime();
-		JsonCalls.Answer answer = importKv(engine, source, id);
+		JsonCalls.Response response = importKv(engine, source, id);
 		assertThat(System.nanoTime() - startedAt > TimeUnit.SECONDS.toNanos(1), is(true));
-		assertThat(answer.body().path("error").asText(), is("source failed"));
+		assertThat(response.body().path("error").asText(), is("source failed"));
 		assertThat(
 				this.deployment.calls().get(engine.address(), "/engine/v1/stats").body().path("kvPiecesUsed").asInt(),
 				is(0));
--- a/emulator/src/test/java/org/banyanstile/emulator/process/TestFleet.java
+++ b/emulator/src/test/java/org/banyanstile/emulator/process/TestFleet.java
@@ -85,7 +85,7 @@
 				fleet.startVm(dataCentre);
 			}
 			for (VmNode vm : deployment.vms()) {
-				Conditions.await(vm.process().name() + " answers operators", LIMIT, () -> fleet.status(vm) == 200);
+				Conditions.await(vm.process().name() + " responds to operators", LIMIT, () -> fleet.status(vm) == 200);
 			}
 			fleet.apply(false);
 			deployment.awaitVms(LIMIT);
@@ -147,11 +147,11 @@
 		HttpRequest put = HttpRequest.postJson(vm.operatorAddress(), "/operator/v1/config", json)
 			.withMethod("PUT")
 			.withHeader("If-Match", String.valueOf(this.version));
-		JsonCalls.Answer answer = this.deployment.operator(vm, put);
-		if (answer.status() != 200 && answer.status() != 202) {
-			throw new IllegalStateException("configuration refused: " + answer);
+		JsonCalls.Response response = this.deployment.operator(vm, put);
+		if (response.status() != 200 && response.status() != 202) {
+			throw new IllegalStateException("configuration refused: " + response);
 		}
-		this.version = answer.body().path("version").asLong();
+		this.version = response.body().path("version").asLong();
 	}
 
 	HttpResponse openText(VmNode vm, TextRequest request, String key, String idempotencyKey) throws HttpException {
@@ -164,8 +164,8 @@
 	}
 
 	/**
-	 * Opens a text as a caller does that repeats refusals by rate. A partition that moves
-	 * to another owner when a VM joins leaves its teams without grants for 2.5 s.
+	 * Opens a text as a caller does that retries after a rate limit. The teams of a
+	 * partition that moves to another owner when a VM joins have no grants for 2.5 s.
 	 * @return the response, with status 200
 	 */
 	HttpResponse openAdmittedText(VmNode vm, String key) throws Exception {
@@ -183,8 +183,8 @@
 	}
 
 	/**
-	 * Waits until each VM admits a long text. New owners of a team's bucket start empty,
-	 * so the requests after a start or a failure are refused for a while.
+	 * Waits until each VM admits a long text. A new owner of a team's bucket starts with
+	 * an empty one, so requests are refused for a while after a start or a failure.
 	 */
 	void awaitAdmission() throws Exception {
 		this.deployment.awaitVms(LIMIT);
@@ -205,7 +205,7 @@
 		return withdrawn ? List.of(this.key.text()) : List.of(this.key.text(), this.secondKey.text());
 	}
 
-	JsonCalls.Answer book(VmNode vm, String key, String idempotencyKey) throws HttpException {
+	JsonCalls.Response book(VmNode vm, String key, String idempotencyKey) throws HttpException {
 		return this.deployment.calls()
 			.send(HttpRequest
 				.postJson(vm.callerAddress(), "/v1/services/order-desk/orders",
@@ -219,7 +219,7 @@
 	}
 
 	/**
-	 * Counts the work that the endpoints of the drained data centre have got so far.
+	 * Counts the prefills and imports of the drained data centre's engines so far.
 	 */
 	int drainedWork() throws HttpException {
 		int work = 0;
