--- a/examples/src/main/java/org/banyanstile/examples/ExampleOptions.java
+++ b/examples/src/main/java/org/banyanstile/examples/ExampleOptions.java
@@ -12,8 +12,8 @@
 import org.banyanstile.config.TeamKey;
 
 /**
- * Options of the example programs, by which a quickstart on loopback replaces addresses
- * and adds keys.
+ * Options of the example programs. A quickstart on loopback uses them to replace
+ * addresses and add keys.
  *
  * @author banyanstile contributors
  */
@@ -37,15 +37,15 @@
 	}
 
 	FleetConfiguration apply(FleetConfiguration configuration) {
-		List<Endpoint> runners = kept(configuration);
-		this.endpoints.forEach((option) -> replaceAddress(runners, option));
+		List<Endpoint> selected = selectedEndpoints(configuration);
+		this.endpoints.forEach((option) -> replaceAddress(selected, option));
 		List<Team> teams = new ArrayList<>(configuration.teams());
 		this.keys.forEach((option) -> addKey(teams, option));
 		return new FleetConfiguration(configuration.formatVersion(), configuration.deployment(),
-				configuration.regions(), runners, configuration.routes(), teams, configuration.limits());
+				configuration.regions(), selected, configuration.routes(), teams, configuration.limits());
 	}
 
-	private List<Endpoint> kept(FleetConfiguration configuration) {
+	private List<Endpoint> selectedEndpoints(FleetConfiguration configuration) {
 		for (String name : this.only) {
 			if (configuration.endpoint(name).isEmpty()) {
 				throw new ParameterException("--only: no endpoint " + name);
@@ -59,7 +59,7 @@
 	}
 
 	private static void replaceAddress(List<Endpoint> endpoints, String option) {
-		String name = before(option, "--endpoint");
+		String name = nameIn(option, "--endpoint");
 		boolean found = endpoints.stream().anyMatch((endpoint) -> endpoint.name().equals(name));
 		if (!found) {
 			throw new ParameterException("--endpoint: no endpoint " + name);
@@ -69,7 +69,7 @@
 	}
 
 	private static void addKey(List<Team> teams, String option) {
-		String name = before(option, "--key");
+		String name = nameIn(option, "--key");
 		String[] parts = option.substring(name.length() + 1).split(":", -1);
 		boolean found = teams.stream().anyMatch((team) -> team.name().equals(name));
 		if (!found || parts.length != 3) {
@@ -86,7 +86,7 @@
 		return team.withKeys(keys);
 	}
 
-	private static String before(String option, String parameter) {
+	private static String nameIn(String option, String parameter) {
 		int index = option.indexOf('=');
 		if (index < 1) {
 			throw new ParameterException(parameter + ": '=' is missing");
--- a/examples/src/main/java/org/banyanstile/examples/TywodConfiguration.java
+++ b/examples/src/main/java/org/banyanstile/examples/TywodConfiguration.java
@@ -68,7 +68,7 @@
 			.at(DATA_CENTRES[dataCentre], "10.20." + (dataCentre + 1) + "." + (101 + index) + ":9101")
 			.slots(20)
 			.kvPieces(400)
-			// The engines of wrecsam run an older release that ignores the token.
+			// The engines of wrecsam run an older release that ignores the fencing token.
 			.checksFencing(dataCentre != 2)
 			.build();
 	}
--- a/examples/src/main/java/org/banyanstile/examples/package-info.java
+++ b/examples/src/main/java/org/banyanstile/examples/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Programs of operators that print the configuration of a deployment as JSON.
+ * Example programs that print the configuration of a deployment as JSON.
  */
 @NullMarked
 package org.banyanstile.examples;
