--- a/benchmark/src/main/java/org/banyanstile/benchmark/BrokerSource.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/BrokerSource.java
@@ -17,23 +17,23 @@
 import org.banyanstile.core.common.VmId;
 
 /**
- * Asks the real broker, one network delay away.
+ * Requests engines from the real broker, with the network delay in each direction.
  *
  * @author banyanstile contributors
  */
 final class BrokerSource implements SlotSource {
 
-	private static final long LOAD_LAG = 500 * Deployment.MILLI;
+	private static final long LOAD_REPORT_PERIOD = 500 * Deployment.MILLI;
 
 	private static final long TICK = 20 * Deployment.MILLI;
 
-	private static final long LIST_PERIOD = 2000 * Deployment.MILLI;
+	private static final long STREAM_LIST_PERIOD = 2000 * Deployment.MILLI;
 
-	private static final long DRAIN_DELAY = 5000 * Deployment.MILLI;
+	private static final long CONFIGURATION_PERIOD = 5000 * Deployment.MILLI;
 
 	private final SlotBroker broker = SlotBroker.takeOver();
 
-	private final Map<String, Consumer<Optional<FakeEngine>>> waiting = new HashMap<>();
+	private final Map<String, Consumer<Optional<FakeEngine>>> pending = new HashMap<>();
 
 	private final Map<EndpointId, FakeEngine> engines;
 
@@ -53,9 +53,9 @@
 		configure();
 		engines.forEach((engine) -> this.broker.observed(engine.endpoint, List.of(), 0, 0));
 		events.every(TICK, () -> deliver(this.broker.tick(events.now())));
-		events.every(LOAD_LAG, this::reportLoad);
-		events.every(LIST_PERIOD, this::listStreams);
-		events.every(DRAIN_DELAY, this::configure);
+		events.every(LOAD_REPORT_PERIOD, this::reportLoad);
+		events.every(STREAM_LIST_PERIOD, this::listStreams);
+		events.every(CONFIGURATION_PERIOD, this::configure);
 	}
 
 	private void configure() {
@@ -89,7 +89,7 @@
 		SlotRequest request = new SlotRequest(job.id, VmId.of("vm-" + job.vm), team, 1, job.tokens(), maxWaitNanos,
 				false, null, Set.copyOf(job.excluded));
 		this.events.after(this.delay, () -> {
-			this.waiting.put(job.id, result);
+			this.pending.put(job.id, result);
 			deliver(this.broker.request(request, this.events.now()));
 		});
 	}
@@ -107,7 +107,7 @@
 
 	private void deliver(List<SlotDecision> decisions) {
 		for (SlotDecision decision : decisions) {
-			Consumer<Optional<FakeEngine>> result = this.waiting.remove(decision.requestId());
+			Consumer<Optional<FakeEngine>> result = this.pending.remove(decision.requestId());
 			if (result == null) {
 				continue;
 			}
--- a/benchmark/src/main/java/org/banyanstile/benchmark/ComparisonMain.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/ComparisonMain.java
@@ -3,7 +3,8 @@
 import java.io.PrintStream;
 
 /**
- * Prints each decision against its naive versions, in virtual time with a fixed seed.
+ * Compares each decision with its naive versions, in virtual time with a fixed seed, and
+ * prints the results.
  *
  * @author banyanstile contributors
  */
@@ -57,8 +58,8 @@
 				PoolResult design = new PoolComparison(deployment, scenario, SlotPolicy.BROKER, SEED).run();
 				String where = deployment.name() + " " + scenario + ": ";
 				double ratio = design.goodPerSecond() / naive.goodPerSecond();
-				double wanted = (scenario == Scenario.PEAK) ? 1.3 : 1;
-				goal(out, where + "goodput over naive", ratio, ratio >= wanted);
+				double target = (scenario == Scenario.PEAK) ? 1.3 : 1;
+				goal(out, where + "goodput over naive", ratio, ratio >= target);
 				goal(out, where + "prefills wasted for lack of a slot", design.wastedForLackOfSlot(),
 						design.wastedForLackOfSlot() == 0);
 				goal(out, where + "wasted prefill", design.wastedPrefill(), design.wastedPrefill() < 0.01);
@@ -69,8 +70,8 @@
 		}
 	}
 
-	private static void goal(PrintStream out, String what, double figure, boolean met) {
-		out.printf("%s %s %.3f%n", met ? "met   " : "MISSED", what, figure);
+	private static void goal(PrintStream out, String what, double value, boolean met) {
+		out.printf("%s %s %.3f%n", met ? "met   " : "MISSED", what, value);
 	}
 
 	private static void pools(PrintStream out) {
--- a/benchmark/src/main/java/org/banyanstile/benchmark/Deployment.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/Deployment.java
@@ -4,7 +4,7 @@
 
 /**
  * Size of a deployment and the times of its engines. The sizes are those of section 1.1
- * of the design. The times are a model: an answer of 370 tokens on average, as at the
+ * of the design. The times are a model: a response of 370 tokens on average, as at the
  * target size, and a prefill that costs as much as tens of output tokens.
  *
  * @param name the name
--- a/benchmark/src/main/java/org/banyanstile/benchmark/GossipSlopes.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/GossipSlopes.java
@@ -17,8 +17,8 @@
 
 /**
  * Costs of the datagrams that VMs exchange on a platform whose endpoints register
- * themselves, against the number of VMs. A VM has work at ten engines and has served 16
- * teams.
+ * themselves, against the number of VMs. A VM has requests at ten engines and has served
+ * 16 teams.
  *
  * @author banyanstile contributors
  */
@@ -38,19 +38,19 @@
 		}
 	}
 
-	private static GossipMember member(int vm, long beat) {
-		return new GossipMember("edge-region-" + vm, 1_796_000_000_000L + vm, beat, "region-a",
+	private static GossipMember member(int vm, long heartbeat) {
+		return new GossipMember("edge-region-" + vm, 1_796_000_000_000L + vm, heartbeat, "region-a",
 				"10.1.0." + vm + ":8221", "10.1.0." + vm + ":7600", 1);
 	}
 
-	private static GossipState state(List<GossipMember> members, long beat) {
+	private static GossipState state(List<GossipMember> members, long heartbeat) {
 		List<GossipLoad> loads = IntStream.range(0, ENGINES)
 			.mapToObj((i) -> new GossipLoad("i-00a1b2c3d" + i, 4, 17_000))
 			.toList();
 		List<GossipUse> uses = IntStream.range(0, TEAMS)
 			.mapToObj((i) -> new GossipUse("team" + i, 1_000_000L + i))
 			.toList();
-		return new GossipState(member(0, beat), members, loads, uses, List.of(), List.of(1000L, 2000L),
+		return new GossipState(member(0, heartbeat), members, loads, uses, List.of(), List.of(1000L, 2000L),
 				List.of(50_000_000L, 50_000_000L), false);
 	}
 
@@ -75,9 +75,9 @@
 			table.cpu(what + ", encode", "VMs", vms,
 					Meter.nanosPerOperation(2000, (i) -> encode(codec, state(members, i))));
 			table.cpu(what + ", decode and merge", "VMs", vms, Meter.nanosPerOperation(2000, (i) -> {
-				GossipState heard = decode(codec, datagram);
-				membership.merge(heard.members(), i);
-				membership.merge(List.of(heard.self()), i);
+				GossipState received = decode(codec, datagram);
+				membership.merge(received.members(), i);
+				membership.merge(List.of(received.self()), i);
 			}));
 		}
 		catch (IOException ex) {
--- a/benchmark/src/main/java/org/banyanstile/benchmark/LimitComparison.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/LimitComparison.java
@@ -16,9 +16,9 @@
 import org.banyanstile.core.limit.TeamLimits;
 
 /**
- * Runs the requests of five teams through one policy of limits: team 0 uses one VM at 90%
- * of its rate, team 1 sends five times its rate, the others 90% over all VMs. The owner
- * may fail in the middle of the run and is then replaced after 16 s.
+ * Runs the requests of five teams under one limit policy: team 0 uses one VM at 90% of
+ * its rate, team 1 sends five times its rate, the others 90% over all VMs. The owner may
+ * fail in the middle of the run and is then replaced after 16 s.
  *
  * @author banyanstile contributors
  */
@@ -28,9 +28,9 @@
 
 	private static final int SLOTS = 16;
 
-	private static final int COST = 1370;
+	private static final int RESERVED_TOKENS = 1370;
 
-	private static final int USED = 1100;
+	private static final int USED_TOKENS = 1100;
 
 	private static final long STEP = 10 * Deployment.MILLI;
 
@@ -38,12 +38,13 @@
 
 	private static final long DURATION = 300_000 * Deployment.MILLI;
 
-	private static final long FAILS_AT = 150_000 * Deployment.MILLI;
+	private static final long OWNER_FAILS_AT = 150_000 * Deployment.MILLI;
 
-	private static final long RETURNS_AT = FAILS_AT + LimitTimes.TAKEOVER_NANOS;
+	private static final long OWNER_REPLACED_AT = OWNER_FAILS_AT + LimitTimes.TAKEOVER_NANOS;
 
 	/**
-	 * Size of a grant request and its reply: four bytes of length each and the fields.
+	 * Size of a grant request and its reply: four bytes of length prefix each and the
+	 * fields.
 	 */
 	private static final int GRANT_BYTES = 140;
 
@@ -55,7 +56,7 @@
 
 	private final long[] lastUse = new long[Deployment.TEAMS];
 
-	private final long[][] asked = new long[Deployment.TEAMS][2];
+	private final long[][] requested = new long[Deployment.TEAMS][2];
 
 	private final long[][] refused = new long[Deployment.TEAMS][2];
 
@@ -111,7 +112,7 @@
 		long heartbeatAt = 0;
 		boolean replaced = false;
 		for (long now = 0; now < DURATION; now += STEP) {
-			if (this.ownerFails && !replaced && now >= RETURNS_AT) {
+			if (this.ownerFails && !replaced && now >= OWNER_REPLACED_AT) {
 				replaced = true;
 				this.owner = newOwner(2, now);
 				this.buckets.clear();
@@ -122,7 +123,7 @@
 			}
 			for (int team = 0; team < Deployment.TEAMS; team++) {
 				double load = (team == 1) ? 5 : 0.9;
-				if (this.random.nextDouble() < load * LIMIT.tokensPerSecond() / USED * STEP * 1e-9) {
+				if (this.random.nextDouble() < load * LIMIT.tokensPerSecond() / USED_TOKENS * STEP * 1e-9) {
 					request(team, (team == 0) ? 0 : this.random.nextInt(this.vmCount), now);
 				}
 			}
@@ -133,12 +134,12 @@
 				this.messages / seconds, this.messages / seconds * GRANT_BYTES / 2);
 	}
 
-	private double ratio(int team, int phase) {
-		return (double) this.refused[team][phase] / Math.max(1, this.asked[team][phase]);
+	private double ratio(int team, int period) {
+		return (double) this.refused[team][period] / Math.max(1, this.requested[team][period]);
 	}
 
 	private boolean isOwnerDown(long now) {
-		return this.ownerFails && now >= FAILS_AT && now < RETURNS_AT;
+		return this.ownerFails && now >= OWNER_FAILS_AT && now < OWNER_REPLACED_AT;
 	}
 
 	private void heartbeats(long now) {
@@ -165,15 +166,16 @@
 			accept(team, vm, now);
 			return;
 		}
-		boolean disturbed = this.ownerFails && now >= FAILS_AT && now < RETURNS_AT + 10_000 * Deployment.MILLI;
-		this.asked[team][disturbed ? 1 : 0]++;
+		boolean disturbed = this.ownerFails && now >= OWNER_FAILS_AT
+				&& now < OWNER_REPLACED_AT + 10_000 * Deployment.MILLI;
+		this.requested[team][disturbed ? 1 : 0]++;
 		if (!accept(team, vm, now)) {
 			this.refused[team][disturbed ? 1 : 0]++;
 			return;
 		}
-		this.floodTokens += (team == 1) ? USED : 0;
+		this.floodTokens += (team == 1) ? USED_TOKENS : 0;
 		double refilled = (now - this.lastUse[team]) * 1e-9 * LIMIT.tokensPerSecond();
-		this.filled[team] = Math.max(0, this.filled[team] - refilled) + USED;
+		this.filled[team] = Math.max(0, this.filled[team] - refilled) + USED_TOKENS;
 		this.lastUse[team] = now;
 		this.overGrant = Math.max(this.overGrant, this.filled[team] - LIMIT.burstTokens());
 	}
@@ -184,29 +186,29 @@
 				this.buckets
 					.computeIfAbsent(TeamId.of("team-" + team + "-" + vm),
 							(id) -> new SimpleBucket(LIMIT, this.vmCount, now))
-					.take(USED, now);
+					.take(USED_TOKENS, now);
 			case CENTRAL_COUNTER -> {
 				this.messages += 2;
 				yield !isOwnerDown(now)
 						&& this.buckets.computeIfAbsent(team(team), (id) -> new SimpleBucket(LIMIT, 1, now))
-							.take(USED, now);
+							.take(USED_TOKENS, now);
 			}
 			case FLOORS_AND_GRANTS -> acceptByGrant(team(team), this.vms.get(vm), now);
 		};
 	}
 
 	private boolean acceptByGrant(TeamId team, TeamLimits limits, long now) {
-		ReserveResult result = limits.reserve(team, COST, now);
+		ReserveResult result = limits.reserve(team, RESERVED_TOKENS, now);
 		if (result instanceof ReserveResult.GrantNeeded needed) {
 			GrantReply reply = isOwnerDown(now) ? null : this.owner.grant(needed.request(), now);
 			this.messages += 2;
 			if (reply != null) {
 				limits.grantReceived(team, reply, now, now);
 			}
-			result = limits.reserveAvailable(team, COST, reply, now);
+			result = limits.reserveAvailable(team, RESERVED_TOKENS, reply, now);
 		}
 		if (result instanceof ReserveResult.Reserved reserved) {
-			limits.settle(reserved.reservation(), USED);
+			limits.settle(reserved.reservation(), USED_TOKENS);
 			return true;
 		}
 		return false;
--- a/benchmark/src/main/java/org/banyanstile/benchmark/LimitPolicy.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/LimitPolicy.java
@@ -1,7 +1,7 @@
 package org.banyanstile.benchmark;
 
 /**
- * Ways to hold a team to its rate and burst across VMs.
+ * Ways to enforce the rate and burst of a team across VMs.
  *
  * @author banyanstile contributors
  */
@@ -13,7 +13,7 @@
 	RATE_PER_VM,
 
 	/**
-	 * One counter, asked for every request; its owner starts with a full bucket.
+	 * One counter that is queried for every request; its owner starts with a full bucket.
 	 */
 	CENTRAL_COUNTER,
 
--- a/benchmark/src/main/java/org/banyanstile/benchmark/LimitResult.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/LimitResult.java
@@ -1,14 +1,15 @@
 package org.banyanstile.benchmark;
 
 /**
- * Figures of one run of the limits.
+ * Results of one run of the limit comparison.
  *
- * @param oneVmRefused the refused part of the requests of a team that uses one VM within
- * its rate
- * @param evenRefused the refused part of the requests of teams within their rate
- * @param outageRefused the same while the owner is gone
+ * @param oneVmRefused the refused fraction of the requests of a team that uses one VM
+ * within its rate
+ * @param evenRefused the refused fraction of the requests of teams within their rate
+ * @param outageRefused the refused fraction of the requests of all teams within their
+ * rate, from the failure of the owner until ten seconds after its replacement
  * @param floodTokensPerSecond the tokens per second of the team at five times its rate
- * @param overGrant the most tokens above burst plus refill in any window
+ * @param overGrant the largest number of tokens above burst plus refill in any window
  * @param messages the messages between VMs per second
  * @param bytes the bytes between VMs per second
  * @author banyanstile contributors
--- a/benchmark/src/main/java/org/banyanstile/benchmark/LoadSource.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/LoadSource.java
@@ -15,7 +15,7 @@
 import org.banyanstile.core.routing.TwoChoices;
 
 /**
- * Chooses engines by the load reports that each VM reads, without an owner.
+ * Chooses engines by the load reports that each VM receives, without a pool owner.
  *
  * @author banyanstile contributors
  */
--- a/benchmark/src/main/java/org/banyanstile/benchmark/Meter.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/Meter.java
@@ -28,9 +28,9 @@
 
 	/**
 	 * Measures the processor time of an operation.
-	 * @param count the number of operations a round
-	 * @param operation the operation, given a number that rises over all rounds
-	 * @return the nanoseconds an operation in the best round, the first ones being
+	 * @param count the number of operations per round
+	 * @param operation the operation, given a number that increases over all rounds
+	 * @return the nanoseconds per operation in the best round; the first rounds are
 	 * warm-up
 	 */
 	static double nanosPerOperation(int count, IntConsumer operation) {
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	 * Measures the heap that a structure keeps.
+	 * Measures the heap that a structure retains.
 	 * @param structure creates the structure
 	 * @return the bytes
 	 */
--- a/benchmark/src/main/java/org/banyanstile/benchmark/PoolComparison.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/PoolComparison.java
@@ -20,10 +20,10 @@
 	static final long DURATION = 300_000 * Deployment.MILLI;
 
 	/**
-	 * Requests that arrive later may not be answered by the end of the run, so they do
-	 * not count for the shares.
+	 * Requests that arrive within this time before the end of the run may not complete by
+	 * then, so they do not count for the shares.
 	 */
-	private static final long LONGEST_ANSWER = 20_000 * Deployment.MILLI;
+	private static final long LONGEST_RESPONSE = 20_000 * Deployment.MILLI;
 
 	private static final int MAX_RETRIES = 3;
 
@@ -95,8 +95,8 @@
 		}
 		this.events.run(DURATION);
 		return new PoolResult(this.good / (DURATION * 1e-9),
-				(double) this.wastedTokens / Math.max(1, this.prefillTokens), this.wastedForLackOfSlot, worstShare(),
-				this.refused, this.failed, this.coldOverloads, this.source.messages());
+				(double) this.wastedTokens / Math.max(1, this.prefillTokens), this.wastedForLackOfSlot,
+				worstTeamShare(), this.refused, this.failed, this.coldOverloads, this.source.messages());
 	}
 
 	private void drain(boolean drained) {
@@ -136,7 +136,7 @@
 	}
 
 	private static boolean isCounted(Job job) {
-		return job.arrivedAt < DURATION - LONGEST_ANSWER;
+		return job.arrivedAt < DURATION - LONGEST_RESPONSE;
 	}
 
 	private static long prefillNanos(Job job) {
@@ -207,11 +207,11 @@
 	}
 
 	/**
-	 * Returns the lowest share.
-	 * @return the lowest ratio of tokens served to the max-min fair share of what all
-	 * teams got
+	 * Returns the share of the worst-served team.
+	 * @return the lowest ratio of tokens served to the max-min fair share of the tokens
+	 * served to all teams
 	 */
-	private double worstShare() {
+	private double worstTeamShare() {
 		double left = Arrays.stream(this.served).sum();
 		double[] demands = this.offered.clone();
 		Arrays.sort(demands);
--- a/benchmark/src/main/java/org/banyanstile/benchmark/PoolResult.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/PoolResult.java
@@ -1,10 +1,10 @@
 package org.banyanstile.benchmark;
 
 /**
- * Figures of one run of a pool.
+ * Results of one run of the pool comparison.
  *
- * @param goodPerSecond the answers within both latency targets, per second
- * @param wastedPrefill the wasted part of the prefill tokens
+ * @param goodPerSecond the responses within both latency targets, per second
+ * @param wastedPrefill the wasted fraction of the prefill tokens
  * @param wastedForLackOfSlot the prefills wasted because no decode slot was found
  * @param worstTeamShare the lowest ratio of tokens served to the fair share
  * @param refused the requests refused before any work
--- a/benchmark/src/main/java/org/banyanstile/benchmark/Scenario.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/Scenario.java
@@ -1,14 +1,14 @@
 package org.banyanstile.benchmark;
 
 /**
- * Pressure on a pool, from section 1.1 of the design.
+ * Load and disturbances of a pool, from section 1.1 of the design.
  *
  * @author banyanstile contributors
  */
 enum Scenario {
 
 	/**
-	 * Decode at 95% of its slots.
+	 * Demand at 95% of the decode slots.
 	 */
 	LOAD_95(0.95, false, false, false),
 
@@ -23,12 +23,12 @@
 	ONE_TEAM_FIVEFOLD(0.95, true, false, false),
 
 	/**
-	 * Engines go cold, one each 30 s.
+	 * One engine starts cold every 30 s.
 	 */
 	COLD_ENDPOINTS(0.8, false, true, false),
 
 	/**
-	 * A data centre leaves for a third of the run and returns.
+	 * A data centre is drained for a third of the run and then returns.
 	 */
 	DATA_CENTRE_LEAVES(0.8, false, false, true);
 
--- a/benchmark/src/main/java/org/banyanstile/benchmark/SlopeMain.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/SlopeMain.java
@@ -1,8 +1,8 @@
 package org.banyanstile.benchmark;
 
 /**
- * Prints processor time and memory of the control work of each role at three sizes, on
- * this machine and in this process.
+ * Prints processor time and memory of the control work of VMs and owners at three sizes,
+ * on this machine and in this process.
  *
  * @author banyanstile contributors
  */
--- a/benchmark/src/main/java/org/banyanstile/benchmark/SlopeTable.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/SlopeTable.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 
 /**
- * Prints measured costs with their size.
+ * Prints measured costs, in total and per unit of size.
  *
  * @author banyanstile contributors
  */
--- a/benchmark/src/main/java/org/banyanstile/benchmark/SlotPolicy.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/SlotPolicy.java
@@ -1,7 +1,7 @@
 package org.banyanstile.benchmark;
 
 /**
- * Ways to find a decode slot: the design's and its naive versions.
+ * Ways to find a decode slot: that of the design and its naive versions.
  *
  * @author banyanstile contributors
  */
@@ -23,7 +23,7 @@
 	TWO_CHOICES(false, true, true),
 
 	/**
-	 * The broker, asked after the prefill.
+	 * The broker, queried after the prefill.
 	 */
 	BROKER_AFTER_PREFILL(false, true, true),
 
--- a/benchmark/src/main/java/org/banyanstile/benchmark/coordination/CoordinationCostMain.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/coordination/CoordinationCostMain.java
@@ -13,7 +13,7 @@
 import org.banyanstile.io.http.HttpClient;
 
 /**
- * Measures bytes, processor time and store calls a second of each VM at several fleet
+ * Measures bytes, processor time and store calls per second of each VM at several fleet
  * sizes, with all VMs in this process over loopback, and prints the slopes.
  *
  * @author banyanstile contributors
@@ -63,9 +63,9 @@
 			for (int i = 0; i < PARTITIONS; i++) {
 				partitions.add("team/" + i);
 			}
-			String noList = "http://" + freeAddress();
+			String unusedListUrl = "http://" + freeAddress();
 			for (int i = 0; i < n; i++) {
-				vms.add(MeasuredVm.start("entry-vm-" + i, freeAddress(), table, http, noList, partitions));
+				vms.add(MeasuredVm.start("entry-vm-" + i, freeAddress(), table, http, unusedListUrl, partitions));
 			}
 			settle(vms, n);
 			return steady(vms, table);
@@ -79,7 +79,7 @@
 		long deadline = System.nanoTime() + SETTLE_MILLIS * 1_000_000;
 		while (!isSettled(vms, n)) {
 			if (System.nanoTime() - deadline > 0) {
-				throw new IllegalStateException("the fleet of " + n + " did not settle");
+				throw new IllegalStateException("the fleet of " + n + " VMs did not settle in time");
 			}
 			Thread.sleep(100);
 		}
@@ -101,13 +101,13 @@
 
 	private static Cost steady(List<MeasuredVm> vms, MemoryTable table) throws InterruptedException {
 		OperatingSystemMXBean system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-		long began = System.nanoTime();
+		long startedAt = System.nanoTime();
 		long cpu = system.getProcessCpuTime();
 		long bytes = bytes(vms);
 		long writes = table.writes();
 		long reads = table.reads();
 		Thread.sleep(MEASURE_MILLIS);
-		double nanos = System.nanoTime() - began;
+		double nanos = System.nanoTime() - startedAt;
 		double perVm = vms.size() * nanos / 1e9;
 		return new Cost(vms.size(), (bytes(vms) - bytes) / perVm,
 				100 * (system.getProcessCpuTime() - cpu) / (nanos * vms.size()), (table.writes() - writes) / perVm,
@@ -128,10 +128,10 @@
 	 * Cost of one VM.
 	 *
 	 * @param vms size of the fleet
-	 * @param bytes bytes sent a second
+	 * @param bytes bytes sent per second
 	 * @param cpuPercent processor time in percent of a core
-	 * @param writes store writes a second
-	 * @param reads store reads a second
+	 * @param writes store writes per second
+	 * @param reads store reads per second
 	 * @author banyanstile contributors
 	 */
 	private record Cost(int vms, double bytes, double cpuPercent, double writes, double reads) {
--- a/benchmark/src/main/java/org/banyanstile/benchmark/coordination/MeasuredVm.java
+++ b/benchmark/src/main/java/org/banyanstile/benchmark/coordination/MeasuredVm.java
@@ -24,9 +24,9 @@
 /**
  * Connections and coordination loop of one VM.
  *
- * @param coordination its state
- * @param peers its connections
- * @param loop its loop
+ * @param coordination the coordination state
+ * @param peers the connections to other VMs
+ * @param loop the coordination loop
  * @author banyanstile contributors
  */
 record MeasuredVm(Coordination coordination, VmPeers peers, CoordinationLoop loop) implements AutoCloseable {
@@ -35,7 +35,7 @@
 
 	private static final int SLOTS = 64;
 
-	static MeasuredVm start(String name, String address, MemoryTable table, HttpClient http, String noList,
+	static MeasuredVm start(String name, String address, MemoryTable table, HttpClient http, String unusedListUrl,
 			Collection<String> partitions) throws IOException {
 		SlotRecord template = new SlotRecord(0, VmId.of(name), 0, DataCentreId.of("dc"), "127.0.0.1:1", address,
 				VmState.LIVE, "");
@@ -45,8 +45,8 @@
 		coordination.setPartitions(partitions);
 		MessageHandlers handlers = new MessageHandlers();
 		VmPeers peers = VmPeers.create(new VmIdentity(VmId.of(name), address, KEY), VmMessages.codec(), handlers);
-		CoordinationLoop loop = CoordinationLoop.create(coordination, table, VmListClient.create(http, noList), peers,
-				codec, List.of());
+		CoordinationLoop loop = CoordinationLoop.create(coordination, table, VmListClient.create(http, unusedListUrl),
+				peers, codec, List.of());
 		peers.start();
 		loop.start(handlers);
 		return new MeasuredVm(coordination, peers, loop);
--- a/benchmark/src/test/java/org/banyanstile/benchmark/ComparisonTests.java
+++ b/benchmark/src/test/java/org/banyanstile/benchmark/ComparisonTests.java
@@ -15,7 +15,7 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
 /**
- * Bounds on what the comparisons count, from the goals in section 8 of the design.
+ * Checks the results of the comparisons against the goals in section 8 of the design.
  *
  * @author banyanstile contributors
  */
