--- a/core/src/main/java/org/banyanstile/core/admission/FairQueue.java
+++ b/core/src/main/java/org/banyanstile/core/admission/FairQueue.java
@@ -69,14 +69,14 @@
 		return Math.max(earliest, (lastTag != null) ? lastTag : earliest);
 	}
 
-	void add(Waiting waiting) {
-		TeamQueue queue = this.backlogged.get(waiting.request().team());
+	void add(QueuedRequest queued) {
+		TeamQueue queue = this.backlogged.get(queued.request().team());
 		if (queue == null) {
-			Double tag = this.idleTags.remove(waiting.request().team());
+			Double tag = this.idleTags.remove(queued.request().team());
 			queue = new TeamQueue(startTag(tag));
-			this.backlogged.put(waiting.request().team(), queue);
+			this.backlogged.put(queued.request().team(), queue);
 		}
-		queue.waiting.add(waiting);
+		queue.requests.add(queued);
 		this.size++;
 	}
 
@@ -86,17 +86,17 @@
 	 * @return the request, null if no team's first request can be placed
 	 */
 	@Nullable
-	Waiting poll(Predicate<SlotRequest> placeable) {
+	QueuedRequest poll(Predicate<SlotRequest> placeable) {
 		TeamQueue best = null;
 		for (TeamQueue queue : this.backlogged.values()) {
-			if ((best == null || queue.tag < best.tag) && placeable.test(queue.waiting.element().request())) {
+			if ((best == null || queue.tag < best.tag) && placeable.test(queue.requests.element().request())) {
 				best = queue;
 			}
 		}
 		if (best == null) {
 			return null;
 		}
-		Waiting next = best.waiting.remove();
+		QueuedRequest next = best.requests.remove();
 		this.size--;
 		this.virtualTime = Math.max(this.virtualTime, best.tag);
 		best.tag += next.request().cost() / next.request().weight();
@@ -113,35 +113,35 @@
 		TeamQueue own = this.backlogged.get(request.team());
 		double tag = (own != null) ? own.tag : startTag(this.idleTags.get(request.team()));
 		if (own != null) {
-			for (Waiting waiting : own.waiting) {
-				tag += waiting.request().cost() / waiting.request().weight();
+			for (QueuedRequest queued : own.requests) {
+				tag += queued.request().cost() / queued.request().weight();
 			}
 		}
 		int ahead = 0;
 		for (TeamQueue queue : this.backlogged.values()) {
 			double start = queue.tag;
-			for (Waiting waiting : queue.waiting) {
+			for (QueuedRequest queued : queue.requests) {
 				if (start > tag) {
 					break;
 				}
 				ahead++;
-				start += waiting.request().cost() / waiting.request().weight();
+				start += queued.request().cost() / queued.request().weight();
 			}
 		}
 		return ahead;
 	}
 
-	List<Waiting> removeIf(Predicate<Waiting> condition) {
-		List<Waiting> removed = new ArrayList<>();
+	List<QueuedRequest> removeIf(Predicate<QueuedRequest> condition) {
+		List<QueuedRequest> removed = new ArrayList<>();
 		for (TeamId team : List.copyOf(this.backlogged.keySet())) {
 			TeamQueue queue = this.backlogged.get(team);
 			if (queue == null) {
 				continue;
 			}
-			for (Iterator<Waiting> all = queue.waiting.iterator(); all.hasNext();) {
-				Waiting waiting = all.next();
-				if (condition.test(waiting)) {
-					removed.add(waiting);
+			for (Iterator<QueuedRequest> all = queue.requests.iterator(); all.hasNext();) {
+				QueuedRequest queued = all.next();
+				if (condition.test(queued)) {
+					removed.add(queued);
 					all.remove();
 					this.size--;
 				}
@@ -152,7 +152,7 @@
 	}
 
 	private void markIdleIfEmpty(TeamId team, TeamQueue queue) {
-		if (!queue.waiting.isEmpty()) {
+		if (!queue.requests.isEmpty()) {
 			return;
 		}
 		this.backlogged.remove(team);
@@ -165,12 +165,12 @@
 	 * @param request the request
 	 * @param refuseAt the time at which it is refused
 	 */
-	record Waiting(SlotRequest request, long refuseAt) {
+	record QueuedRequest(SlotRequest request, long refuseAt) {
 	}
 
 	private static final class TeamQueue {
 
-		private final Deque<Waiting> waiting = new ArrayDeque<>();
+		private final Deque<QueuedRequest> requests = new ArrayDeque<>();
 
 		private double tag;
 
--- a/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
+++ b/core/src/main/java/org/banyanstile/core/admission/SlotBroker.java
@@ -34,7 +34,7 @@
 
 	private static final double MEAN_COST_GRANTS = 100;
 
-	private static final int MAX_WAITING = 10_000;
+	private static final int MAX_QUEUED = 10_000;
 
 	/**
 	 * Free slots that are not granted to teams above their share, in standard deviations
@@ -52,7 +52,7 @@
 
 	private final Map<String, EndpointSlots> slotsByRequest = new HashMap<>();
 
-	private final Map<String, FairQueue.Waiting> suspects = new LinkedHashMap<>();
+	private final Map<String, FairQueue.QueuedRequest> suspects = new LinkedHashMap<>();
 
 	private final FairQueue queue = new FairQueue();
 
@@ -109,19 +109,19 @@
 			if (isUnservable(request, now)) {
 				return List.of(new SlotDecision.Refused(request.requestId(), retryAfter(now)));
 			}
-			FairQueue.Waiting waiting = new FairQueue.Waiting(request, now + request.maxWaitNanos());
+			FairQueue.QueuedRequest queued = new FairQueue.QueuedRequest(request, now + request.maxWaitNanos());
 			if (request.isolated()) {
-				this.suspects.put(request.requestId(), waiting);
+				this.suspects.put(request.requestId(), queued);
 			}
 			else {
-				this.queue.add(waiting);
+				this.queue.add(queued);
 			}
 			return decide(now);
 		}
 	}
 
 	/**
-	 * Releases a slot, or withdraws a waiting request.
+	 * Releases a slot, or withdraws a queued request.
 	 * @param requestId the request
 	 * @param outcome the end of its use
 	 * @param now the current time in nanoseconds
@@ -132,7 +132,7 @@
 			EndpointSlots slots = this.slotsByRequest.remove(requestId);
 			if (slots == null || !slots.isHeld(requestId)) {
 				this.suspects.remove(requestId);
-				this.queue.removeIf((waiting) -> waiting.request().requestId().equals(requestId));
+				this.queue.removeIf((queued) -> queued.request().requestId().equals(requestId));
 				this.endpoints.values().forEach((endpoint) -> endpoint.release(requestId));
 				return decide(now);
 			}
@@ -231,8 +231,8 @@
 	 */
 	public List<SlotDecision> vmRemoved(VmId vm, long now) {
 		synchronized (this.lock) {
-			this.suspects.values().removeIf((waiting) -> waiting.request().holder().equals(vm));
-			this.queue.removeIf((waiting) -> waiting.request().holder().equals(vm));
+			this.suspects.values().removeIf((queued) -> queued.request().holder().equals(vm));
+			this.queue.removeIf((queued) -> queued.request().holder().equals(vm));
 			this.endpoints.values().forEach((slots) -> slots.vmRemoved(vm));
 			return decide(now);
 		}
@@ -254,7 +254,7 @@
 	}
 
 	/**
-	 * Returns the number of waiting requests.
+	 * Returns the number of queued requests.
 	 * @return the number
 	 */
 	public int waiting() {
@@ -285,7 +285,7 @@
 		List<SlotDecision> decisions = new ArrayList<>();
 		refuseLate(now, decisions);
 		placeSuspects(now, decisions);
-		for (FairQueue.Waiting next = poll(); next != null; next = poll()) {
+		for (FairQueue.QueuedRequest next = poll(); next != null; next = poll()) {
 			EndpointSlots chosen = choose(next.request());
 			if (chosen != null) {
 				grant(next.request(), chosen, now, decisions);
@@ -294,7 +294,7 @@
 		return decisions;
 	}
 
-	private FairQueue.@Nullable Waiting poll() {
+	private FairQueue.@Nullable QueuedRequest poll() {
 		if (this.queue.size() == 0 || this.selection.choose(Set.of(), null) == null) {
 			return null;
 		}
@@ -331,10 +331,10 @@
 	}
 
 	private void refuseLate(long now, List<SlotDecision> decisions) {
-		List<FairQueue.Waiting> late = new ArrayList<>(this.queue.removeIf((waiting) -> waiting.refuseAt() <= now));
-		this.suspects.values().stream().filter((waiting) -> waiting.refuseAt() <= now).forEach(late::add);
-		for (FairQueue.Waiting waiting : late) {
-			String requestId = waiting.request().requestId();
+		List<FairQueue.QueuedRequest> late = new ArrayList<>(this.queue.removeIf((queued) -> queued.refuseAt() <= now));
+		this.suspects.values().stream().filter((queued) -> queued.refuseAt() <= now).forEach(late::add);
+		for (FairQueue.QueuedRequest queued : late) {
+			String requestId = queued.request().requestId();
 			if (this.suspects.remove(requestId) != null) {
 				this.endpoints.values().forEach((slots) -> slots.release(requestId));
 			}
@@ -346,21 +346,21 @@
 		// Endpoints are reserved for the suspects one by one. A reserved endpoint gets no
 		// new work until it is empty. At most a quarter of the pool is reserved, so that
 		// a crash with many requests in flight does not stop all other work.
-		for (FairQueue.Waiting waiting : List.copyOf(this.suspects.values())) {
-			EndpointSlots reserved = this.selection.reservation(waiting.request());
+		for (FairQueue.QueuedRequest queued : List.copyOf(this.suspects.values())) {
+			EndpointSlots reserved = this.selection.reservation(queued.request());
 			if (reserved == null) {
 				return;
 			}
 			if (reserved.held() == 0) {
-				this.suspects.remove(waiting.request().requestId());
-				grant(waiting.request(), reserved, now, decisions);
+				this.suspects.remove(queued.request().requestId());
+				grant(queued.request(), reserved, now, decisions);
 			}
 		}
 	}
 
 	private boolean isUnservable(SlotRequest request, long now) {
 		boolean anyUsable = this.endpoints.values().stream().anyMatch((slots) -> slots.isUsable(request.excluded()));
-		if (!anyUsable || this.queue.size() >= MAX_WAITING) {
+		if (!anyUsable || this.queue.size() >= MAX_QUEUED) {
 			return true;
 		}
 		double rate = this.releases.perNano(now);
--- a/core/src/main/java/org/banyanstile/core/burn/BurnWindow.java
+++ b/core/src/main/java/org/banyanstile/core/burn/BurnWindow.java
@@ -4,7 +4,7 @@
 
 /**
  * Window over which the use of the error budget is counted. Each is a ring of buckets, so
- * a count is at most one bucket longer than the window.
+ * a count covers at most one bucket more than the window.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimOutcome.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimOutcome.java
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	 * The endpoint rejected the call.
+	 * The endpoint refused the call.
 	 *
 	 * @param status status code
 	 * @param contentType media type, or {@code null} if the endpoint sent none
--- a/core/src/main/java/org/banyanstile/core/claim/ClaimState.java
+++ b/core/src/main/java/org/banyanstile/core/claim/ClaimState.java
@@ -18,7 +18,7 @@
 	ANSWERED,
 
 	/**
-	 * The endpoint rejected the call.
+	 * The endpoint refused the call.
 	 */
 	REFUSED,
 
--- a/core/src/main/java/org/banyanstile/core/membership/StoreQuorum.java
+++ b/core/src/main/java/org/banyanstile/core/membership/StoreQuorum.java
@@ -12,7 +12,7 @@
 	/**
 	 * Time for which the majority must persist. An owner may rely on the outage rule for
 	 * 2.5 s after the last report that satisfies it was sent, and for 1 s until it has
-	 * renewed. The 3 s that would do without paused receivers are therefore too short.
+	 * renewed. So 3 s, which would be enough without paused receivers, is too short.
 	 */
 	public static final long PERSIST_NANOS = 4_000_000_000L;
 
--- a/core/src/main/java/org/banyanstile/core/membership/VmState.java
+++ b/core/src/main/java/org/banyanstile/core/membership/VmState.java
@@ -18,7 +18,8 @@
 	LEAVING,
 
 	/**
-	 * The slot was released. Its row is retained because its epoch must never repeat.
+	 * The slot was released. Its row is retained because its epoch must never be used
+	 * again.
 	 */
 	RELEASED
 
--- a/core/src/main/java/org/banyanstile/core/placement/AdmissionQueue.java
+++ b/core/src/main/java/org/banyanstile/core/placement/AdmissionQueue.java
@@ -83,7 +83,7 @@
 	}
 
 	/**
-	 * Wakes the waiting requests after an engine freed memory.
+	 * Wakes the queued requests after an engine freed memory.
 	 */
 	public synchronized void memoryFreed() {
 		notifyAll();
@@ -99,7 +99,7 @@
 	}
 
 	/**
-	 * Returns the number of waiting requests.
+	 * Returns the number of queued requests.
 	 * @return the number
 	 */
 	public synchronized int length() {
--- a/core/src/main/java/org/banyanstile/core/placement/RoleChanges.java
+++ b/core/src/main/java/org/banyanstile/core/placement/RoleChanges.java
@@ -12,8 +12,8 @@
 /**
  * Engines that carry out a role-change order. All VMs learn of the change from the VM
  * that sent the order. Until the change is complete, such an engine is still registered
- * with its old role, grants reservations but refuses requests, so requests that arrive
- * during the change must not be sent to it. Safe for use by several threads.
+ * with its old role, and it grants reservations but refuses requests. So requests that
+ * arrive during the change must not be sent to it. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/core/src/main/java/org/banyanstile/core/routing/CrashAttribution.java
+++ b/core/src/main/java/org/banyanstile/core/routing/CrashAttribution.java
@@ -26,7 +26,7 @@
 	public static final long VERDICT_NANOS = TimeUnit.MINUTES.toNanos(10);
 
 	/**
-	 * Largest size of each of both tables, so that a caller who varies the body cannot
+	 * Largest size of each of the two tables, so that a caller who varies the body cannot
 	 * exhaust memory.
 	 */
 	private static final int MAX_ENTRIES = 10_000;
--- a/server/src/main/java/org/banyanstile/server/FleetParts.java
+++ b/server/src/main/java/org/banyanstile/server/FleetParts.java
@@ -193,14 +193,14 @@
 		this.coordination.setPartitions(Partitions.all(this.applied.current()));
 		this.peers.start();
 		this.loop.start(this.handlers);
-		repeat(CONFIGURATION_MILLIS, this::followConfiguration);
-		repeat(SECOND_MILLIS, this.limiter::update);
-		repeat(SECOND_MILLIS, this.directory::announceAgain);
-		repeat(POOL_EXPIRY_MILLIS, this.pools::expire);
-		repeat(RECONCILE_MILLIS, this.reconciler::reconcile);
-		repeat(SECOND_MILLIS, this.claims::writeRetained);
+		schedule(CONFIGURATION_MILLIS, this::followConfiguration);
+		schedule(SECOND_MILLIS, this.limiter::update);
+		schedule(SECOND_MILLIS, this.directory::announceAgain);
+		schedule(POOL_EXPIRY_MILLIS, this.pools::expire);
+		schedule(RECONCILE_MILLIS, this.reconciler::reconcile);
+		schedule(SECOND_MILLIS, this.claims::writeRetained);
 		PeerStart start = PeerStart.create(this.rollout, new RolloutView(this.coordination, this.peers), this::fetch);
-		repeat(SECOND_MILLIS, start::run);
+		schedule(SECOND_MILLIS, start::run);
 	}
 
 	private ConfigPush currentConfiguration() {
@@ -220,7 +220,7 @@
 		}
 	}
 
-	private void repeat(long millis, Runnable task) {
+	private void schedule(long millis, Runnable task) {
 		var unused = this.timers.scheduleWithFixedDelay(() -> {
 			try {
 				task.run();
--- a/server/src/main/java/org/banyanstile/server/caller/OnceOnlyOutcomes.java
+++ b/server/src/main/java/org/banyanstile/server/caller/OnceOnlyOutcomes.java
@@ -14,7 +14,7 @@
 	private OnceOnlyOutcomes() {
 	}
 
-	static StoredAnswer answer(CallOutcome outcome) throws RequestException {
+	static StoredAnswer response(CallOutcome outcome) throws RequestException {
 		if (outcome instanceof CallOutcome.Answered answered) {
 			return answered.answer();
 		}
@@ -27,9 +27,9 @@
 		throw RequestException.unknown(ErrorType.OUTCOME_UNKNOWN, "it is not known whether the call ran");
 	}
 
-	static RequestException refused(StoredAnswer answer) {
-		String body = answer.body();
-		return RequestException.refusedByEndpoint(answer.status(),
+	static RequestException refused(StoredAnswer response) {
+		String body = response.body();
+		return RequestException.refusedByEndpoint(response.status(),
 				"the endpoint refused the call: " + body.substring(0, Math.min(MAX_MESSAGE_LENGTH, body.length())));
 	}
 
--- a/server/src/main/java/org/banyanstile/server/caller/RequestException.java
+++ b/server/src/main/java/org/banyanstile/server/caller/RequestException.java
@@ -57,7 +57,8 @@
 	}
 
 	/**
-	 * Returns an error for a request that may have run and may be repeated.
+	 * Returns an error for a request that may have run, after which a repeated request
+	 * can succeed.
 	 * @param type type of the error
 	 * @param message message for the caller
 	 * @param retryAfterMillis time after which a repeated request can succeed
--- a/server/src/main/java/org/banyanstile/server/caller/ServiceHandler.java
+++ b/server/src/main/java/org/banyanstile/server/caller/ServiceHandler.java
@@ -181,9 +181,9 @@
 					unavailable.retryAfterMillis());
 		}
 		if (decision instanceof ClaimDecision.Run run) {
-			return OnceOnlyOutcomes.answer(runOnce(run, dispatch));
+			return OnceOnlyOutcomes.response(runOnce(run, dispatch));
 		}
-		return OnceOnlyOutcomes.answer(((ClaimDecision.Decided) decision).outcome());
+		return OnceOnlyOutcomes.response(((ClaimDecision.Decided) decision).outcome());
 	}
 
 	private CallOutcome runOnce(ClaimDecision.Run run, ServiceDispatch dispatch) {
--- a/server/src/main/java/org/banyanstile/server/endpoint/EngineClient.java
+++ b/server/src/main/java/org/banyanstile/server/endpoint/EngineClient.java
@@ -16,7 +16,7 @@
 import org.banyanstile.io.http.ResponseTimeoutException;
 
 /**
- * Client for the engine protocol. Thread-safe.
+ * Client for the engine protocol. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/fleet/FleetClaimService.java
+++ b/server/src/main/java/org/banyanstile/server/fleet/FleetClaimService.java
@@ -132,10 +132,10 @@
 			ClaimReply reply = this.messenger.request(vm, new ClaimQuery(key.team().name(), key.keyHash()),
 					ClaimReply.class, QUERY_TIMEOUT);
 			String body = (reply.body() != null) ? reply.body() : "";
-			StoredAnswer answer = new StoredAnswer(reply.status(), reply.contentType(), body);
+			StoredAnswer response = new StoredAnswer(reply.status(), reply.contentType(), body);
 			return switch (reply.state()) {
-				case "answered" -> new CallOutcome.Answered(answer);
-				case "refused" -> new CallOutcome.RefusedByEndpoint(answer);
+				case "answered" -> new CallOutcome.Answered(response);
+				case "refused" -> new CallOutcome.RefusedByEndpoint(response);
 				case "not_run" -> new CallOutcome.NotRun(NotRunReason.OVERLOADED);
 				case RUNNING -> null;
 				default -> new CallOutcome.OutcomeUnknown();
@@ -189,12 +189,12 @@
 
 	private static ClaimOutcome outcome(CallOutcome outcome) {
 		if (outcome instanceof CallOutcome.Answered answered) {
-			StoredAnswer answer = answered.answer();
-			return new ClaimOutcome.Answered(answer.status(), answer.contentType(), answer.body());
+			StoredAnswer response = answered.answer();
+			return new ClaimOutcome.Answered(response.status(), response.contentType(), response.body());
 		}
 		if (outcome instanceof CallOutcome.RefusedByEndpoint refused) {
-			StoredAnswer answer = refused.answer();
-			return new ClaimOutcome.RefusedByEndpoint(answer.status(), answer.contentType(), answer.body());
+			StoredAnswer response = refused.answer();
+			return new ClaimOutcome.RefusedByEndpoint(response.status(), response.contentType(), response.body());
 		}
 		return (outcome instanceof CallOutcome.NotRun) ? new ClaimOutcome.NotRun() : new ClaimOutcome.OutcomeUnknown();
 	}
--- a/server/src/main/java/org/banyanstile/server/platform/Coordination.java
+++ b/server/src/main/java/org/banyanstile/server/platform/Coordination.java
@@ -239,8 +239,8 @@
 	}
 
 	/**
-	 * Sets for which VMs this VM promises not to use its rate floors for the partitions
-	 * of that VM. The predicate must not block.
+	 * Sets the VMs for whose partitions this VM promises not to use its rate floors. The
+	 * predicate must not block.
 	 * @param suspended the promise by receiver
 	 */
 	public void setFloorsSuspended(Predicate<VmId> suspended) {
--- a/server/src/main/java/org/banyanstile/server/platform/CoordinationLoop.java
+++ b/server/src/main/java/org/banyanstile/server/platform/CoordinationLoop.java
@@ -123,17 +123,17 @@
 		this.peers.setHeartbeatPeriod(this.coordination::heartbeatPeriodNanos);
 		this.peers.setHeartbeatPeriod(this.coordination::heartbeatPeriodNanos);
 		StateChangeLog log = new StateChangeLog();
-		repeat(TICK_MILLIS, () -> {
+		schedule(TICK_MILLIS, () -> {
 			this.coordination.tick();
 			log.update(this.coordination);
 		});
-		repeat(PEERS_MILLIS, this::updatePeers);
-		repeat(LIST_MILLIS, this::updateList);
+		schedule(PEERS_MILLIS, this::updatePeers);
+		schedule(LIST_MILLIS, this::updateList);
 		this.storeThread.start();
 		this.pollThread.start();
 	}
 
-	private void repeat(long millis, Runnable task) {
+	private void schedule(long millis, Runnable task) {
 		var unused = this.timers.scheduleAtFixedRate(() -> {
 			try {
 				task.run();
--- a/server/src/main/java/org/banyanstile/server/router/CallerFields.java
+++ b/server/src/main/java/org/banyanstile/server/router/CallerFields.java
@@ -20,7 +20,7 @@
 
 	/**
 	 * Returns whether the request has token counts.
-	 * @return whether it did
+	 * @return whether it has
 	 */
 	public boolean hasTokens() {
 		return this.promptTokens >= 0 && this.maxOutputTokens >= 0;
--- a/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
+++ b/server/src/main/java/org/banyanstile/server/router/DecisionLog.java
@@ -11,7 +11,7 @@
 /**
  * Structured log of decisions. Each kind of line has a maximum rate; suppressed lines are
  * counted, and the count is logged with the next line of that kind. The appender drops
- * lines rather than block. Thread-safe.
+ * lines rather than block. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/router/EventSplitter.java
+++ b/server/src/main/java/org/banyanstile/server/router/EventSplitter.java
@@ -8,7 +8,7 @@
 
 /**
  * Splits a stream of server-sent events so that only complete events are forwarded. Not
- * thread-safe.
+ * safe for use by several threads.
  *
  * @author banyanstile contributors
  */
--- a/server/src/main/java/org/banyanstile/server/router/TeamQuotas.java
+++ b/server/src/main/java/org/banyanstile/server/router/TeamQuotas.java
@@ -15,7 +15,7 @@
 import org.banyanstile.server.gossip.GossipUse;
 
 /**
- * Token quotas of all teams. Thread-safe.
+ * Token quotas of all teams. Safe for use by several threads.
  *
  * @author banyanstile contributors
  */
